--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -15,108 +15,109 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One connection of a client: its open queries by message id, and its answers in any order. */
+/** A client connection: its open queries by message id. Answers are sent in any order. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     private final Front front;
-    private final Map<Long, OpenQuery> open = new HashMap<>();
-    /** Pages that are being read for it. */
-    private final Set<Long> reads = new HashSet<>();
+    private final Map<Long, OpenQuery> openQueries = new HashMap<>();
+    /** Message ids of requests for pages that are being read from the spool. */
+    private final Set<Long> pageReads = new HashSet<>();
     private final RpcDecoder decoder;
-    private final SocketReads socket;
-    private ChannelHandlerContext channel;
+    private final SocketReads inboundSocket;
+    private ChannelHandlerContext context;
     private long lastUsedAt;
-    /** Answers that are written and have not gone out: for their client these are still open. */
-    private int unread;
-    private boolean ending;
-    /** Ended by the front, not by its client. */
-    private boolean endedHere;
-    private boolean lost;
-    private Timers.Due lingers;
-    private long unsentBytes;
-    private boolean progress;
-    private boolean useful;
-    private int ticks;
-    private int unfinishedTicks;
-    private int stalledTicks;
-    private long messages;
-    private long bytes;
-    private long sentAt;
-
-    /** One that is accepted now. */
+    /** Answers written but not yet flushed to the socket; they count against the limit on open queries. */
+    private int unsentAnswers;
+    private boolean closing;
+    /** Whether the front, not the client, closed the connection. */
+    private boolean closedByFront;
+    private boolean connectionLost;
+    private Timers.Due lingerTimer;
+    private long lastPendingBytes;
+    private boolean answerFlushed;
+    private boolean everUsed;
+    private int unusedTicks;
+    private int partialMessageTicks;
+    private int stalledMessageTicks;
+    private long lastMessageCount;
+    private long lastByteCount;
+    private long lastProgressAt;
+
+    /** Creates a connection that is accepted now. */
     ClientConnection(Front front) {
         this(front, front.clock().now());
     }
 
-    /** @param notBefore a moment at which it had not come yet */
-    ClientConnection(Front front, long notBefore) {
+    /** @param connectedAfter a time before the client connected */
+    ClientConnection(Front front, long connectedAfter) {
         this.front = front;
-        this.socket = new SocketReads(new ArrivalBound(front.turns(), front.clock(), notBefore));
-        this.decoder = new RpcDecoder(front.limits(), front::piece);
+        this.inboundSocket = new SocketReads(new ArrivalBound(front.turns(), front.clock(), connectedAfter));
+        this.decoder = new RpcDecoder(front.limits(), front::addPartialMessageBytes);
         this.lastUsedAt = front.clock().now();
-        this.sentAt = lastUsedAt;
+        this.lastProgressAt = lastUsedAt;
     }
 
+    /** Returns whether part of a message has been received. */
     boolean midway() {
-        return decoder.midway();
+        return decoder.hasPartialMessage();
     }
 
     RpcDecoder decoder() {
         return decoder;
     }
 
-    /** The first of its handlers. */
+    /** Returns the first handler of the pipeline. */
     SocketReads socketReads() {
-        return socket;
+        return inboundSocket;
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
-        channel = ctx;
+        context = ctx;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         front.probe().is("client message");
         lastUsedAt = front.clock().now();
-        if (ending || !ctx.channel().isOpen()) {
-            // What was read together with the message that it ended for, behind it.
+        if (closing || !ctx.channel().isOpen()) {
+            // Read in one go with the message that caused the close, but behind it.
             if (message instanceof RpcDecoder.Call call && call.body() != null) {
                 call.body().release();
             }
         } else if (message instanceof RpcDecoder.Call call) {
-            take(call);
+            handleRequest(call);
         } else if (message instanceof RpcDecoder.Refused refused) {
             turnAway(refused.id());
-        } else if (message instanceof RpcDecoder.Notice notice && notice.method().equals("revoke")) {
-            OpenQuery q = open.remove(notice.id());
+        } else if (message instanceof RpcDecoder.Notification notice && notice.method().equals("revoke")) {
+            OpenQuery q = openQueries.remove(notice.id());
             if (q != null) {
-                front.left(q, false);
+                front.clientLeft(q, false);
             }
         }
     }
 
-    private void take(RpcDecoder.Call call) {
+    private void handleRequest(RpcDecoder.Call call) {
         try {
-            if (open.containsKey(call.id())) {
-                // An answer under the number could be either's, so that neither has rows for one.
-                spoilt(call.id(), "the id is open already");
+            if (openQueries.containsKey(call.id())) {
+                // An answer under this id could belong to either request, so neither may get rows.
+                closeForReusedId(call.id(), "the id is open already");
             } else if (call.fault() != null) {
-                error(call.id(), call.fault());
+                sendError(call.id(), call.fault());
             } else if (call.method().equals("heartbeat")) {
-                use();
-                answer(RpcWriter.heartbeat(channel.alloc(), call.id(), front.able()));
+                markUsed();
+                writeAnswer(RpcWriter.heartbeat(context.alloc(), call.id(), front.isReady()));
             } else if (front.kept() != null && (call.method().equals("page")
                     || call.method().equals("release"))) {
-                kept(call);
-            } else if (open.size() + unread >= front.limits().clientQueries) {
-                front.turnedAway(call);
+                handleKeptAnswerRequest(call);
+            } else if (openQueries.size() + unsentAnswers >= front.limits().clientQueries) {
+                front.recordTurnedAway(call);
                 turnAway(call.id());
             } else {
-                OpenQuery q = front.take(this, call, socket.earliestArrival());
+                OpenQuery q = front.acceptRequest(this, call, inboundSocket.earliestArrival());
                 if (q != null) {
-                    use();
-                    open.put(call.id(), q);
-                    front.decide(q);
+                    markUsed();
+                    openQueries.put(call.id(), q);
+                    front.startDecisions(q);
                 }
             }
         } finally {
@@ -126,275 +127,283 @@
         }
     }
 
-    private void kept(RpcDecoder.Call call) {
-        if (reads.contains(call.id())) {
-            spoilt(call.id(), "the id is open already");
+    /** Handles a request to read a page of a kept answer, or to release it. */
+    private void handleKeptAnswerRequest(RpcDecoder.Call call) {
+        if (pageReads.contains(call.id())) {
+            closeForReusedId(call.id(), "the id is open already");
         } else if (call.method().equals("release")) {
-            use();
+            markUsed();
             front.kept().release(this, call.id(), call.fields());
-        } else if (reads.size() >= front.limits().clientQueries) {
+        } else if (pageReads.size() >= front.limits().clientQueries) {
             turnAway(call.id());
         } else {
-            use();
-            reads.add(call.id());
-            front.kept().ask(this, call.id(), call.fields());
+            markUsed();
+            pageReads.add(call.id());
+            front.kept().requestPage(this, call.id(), call.fields());
         }
     }
 
-    /** A page of an answer that is kept. */
-    void page(long id, int sheet, ByteBuf text) {
-        if (reads.remove(id) && channel.channel().isActive()) {
-            use();
+    /** Sends a page of a kept answer; takes ownership of {@code text}. */
+    void sendPage(long id, int page, ByteBuf text) {
+        if (pageReads.remove(id) && context.channel().isActive()) {
+            markUsed();
             int length = text.readableBytes();
-            ByteBuf whole = RpcWriter.rows(channel.alloc(), id, List.of(text), "sheet",
-                    Integer.toString(sheet));
+            ByteBuf message = RpcWriter.rows(context.alloc(), id, List.of(text), "sheet",
+                    Integer.toString(page));
             text.release();
-            answer(whole, length, null);
+            writeAnswer(message, length, null);
         }
     }
 
-    void readLater(long id, long pauseMs, String why) {
-        if (reads.remove(id)) {
-            front.log().line("page not read", why);
-            shed(id, pauseMs);
+    /** Tells the client to request the page again after {@code pauseMs}. */
+    void deferPageRead(long id, long pauseMs, String reason) {
+        if (pageReads.remove(id)) {
+            front.log().line("page not read", reason);
+            sendShed(id, pauseMs);
         }
     }
 
-    void readError(long id, String why) {
-        if (reads.remove(id)) {
-            error(id, why);
+    void failPageRead(long id, String reason) {
+        if (pageReads.remove(id)) {
+            sendError(id, reason);
         }
     }
 
-    /** The answer is gone, and its query may be asked once more without harm. */
-    void askAnew(long id, String why) {
-        if (reads.remove(id)) {
-            answer(RpcWriter.error(channel.alloc(), id, "Shed", "say", why));
+    /** Reports that the kept answer is lost, and that it is safe to run its query again. */
+    void shedPageRead(long id, String reason) {
+        if (pageReads.remove(id)) {
+            writeAnswer(RpcWriter.error(context.alloc(), id, "Shed", "say", reason));
         }
     }
 
-    void released(long id) {
-        answer(RpcWriter.heartbeat(channel.alloc(), id, true));
+    void confirmRelease(long id) {
+        writeAnswer(RpcWriter.heartbeat(context.alloc(), id, true));
     }
 
-    /** An error, and the end of a connection on which nothing can be told apart any more. */
-    void spoilt(long id, String why) {
-        front.log().line("client connection closed, numbers used twice", why);
-        error(id, why);
-        reads.remove(id);
-        OpenQuery same = open.remove(id);
-        if (same != null) {
-            // Both go by this number, and so does the one answer that either can have.
-            front.left(same, false);
+    /** Sends an error and closes the connection, as requests that share an id can't be told apart. */
+    void closeForReusedId(long id, String reason) {
+        front.log().line("client connection closed, message id reused", reason);
+        sendError(id, reason);
+        pageReads.remove(id);
+        OpenQuery openQuery = openQueries.remove(id);
+        if (openQuery != null) {
+            // Both requests have this id, and the error above is the one answer under it.
+            front.clientLeft(openQuery, false);
         }
         shut(CloseReason.NUMBER_USED_TWICE);
     }
 
-    /** Whether it takes what is sent to it. */
+    /** Returns whether the client reads its answers: the write buffer is below its limit. */
     boolean reads() {
-        return channel.channel().isWritable();
+        return context.channel().isWritable();
     }
 
-    void rows(OpenQuery q, List<ByteBuf> pages) {
+    void sendRows(OpenQuery q, List<ByteBuf> pages) {
         if (front.full() && !reads()) {
-            // It has an answer all the same, and a small one.
-            kill(q, "results wait unread");
+            // The client still gets an answer, but a small one.
+            sendKill(q, "results wait unread");
             return;
         }
-        open.remove(q.messageId);
-        use();
+        openQueries.remove(q.messageId);
+        markUsed();
         int length = pages.stream().mapToInt(ByteBuf::readableBytes).sum();
-        answer(RpcWriter.rows(channel.alloc(), q.messageId, pages), length, q);
+        writeAnswer(RpcWriter.rows(context.alloc(), q.messageId, pages), length, q);
     }
 
-    /** The first page of an answer that is kept, and how to come for the others. */
-    void firstPage(OpenQuery q, Submission s) {
-        open.remove(q.messageId);
-        use();
+    /** Sends the first page of a kept answer, with the handle under which the others are requested. */
+    void sendFirstPage(OpenQuery q, Submission s) {
+        openQueries.remove(q.messageId);
+        markUsed();
         ByteBuf first = s.pages[0];
-        answer(RpcWriter.rows(channel.alloc(), q.messageId, List.of(first), "sheets",
+        writeAnswer(RpcWriter.rows(context.alloc(), q.messageId, List.of(first), "sheets",
                 Integer.toString(s.sheets), "handle", s.handle, "kept", Long.toString(s.keptForMs)),
                 first.readableBytes(), q);
     }
 
-    /** A retry is safe; {@code comeBack} in tenths, 0 for no time named. */
-    void defer(OpenQuery q, long comeBack) {
-        open.remove(q.messageId);
-        answer(refusal(q.messageId, comeBack / 10), 0, q);
+    /** Tells the client that it may retry; {@code retryAfter} in ticks, 0 to name no time. */
+    void sendDeferral(OpenQuery q, long retryAfter) {
+        openQueries.remove(q.messageId);
+        writeAnswer(shedMessage(q.messageId, retryAfter / 10), 0, q);
     }
 
-    void kill(OpenQuery q, String why) {
-        open.remove(q.messageId);
-        answer(fault(q.messageId, why), 0, q);
+    void sendKill(OpenQuery q, String reason) {
+        openQueries.remove(q.messageId);
+        writeAnswer(faultMessage(q.messageId, reason), 0, q);
     }
 
+    /** Refuses a request because a limit is reached. */
     void turnAway(long id) {
-        front.log().line("query turned away by a limit", "");
-        shed(id, front.limits().comeBack);
+        front.log().line("request turned away by a limit", "");
+        sendShed(id, front.limits().comeBack);
     }
 
-    private void shed(long id, long pauseMs) {
-        answer(refusal(id, pauseMs));
+    private void sendShed(long id, long pauseMs) {
+        writeAnswer(shedMessage(id, pauseMs));
     }
 
-    private ByteBuf refusal(long id, long pauseMs) {
-        return RpcWriter.error(channel.alloc(), id, "Shed", "pause",
+    private ByteBuf shedMessage(long id, long pauseMs) {
+        return RpcWriter.error(context.alloc(), id, "Shed", "pause",
                 pauseMs > 0 ? Long.toString(pauseMs) : null);
     }
 
-    void error(long id, String why) {
-        answer(fault(id, why));
+    void sendError(long id, String reason) {
+        writeAnswer(faultMessage(id, reason));
     }
 
-    private ByteBuf fault(long id, String why) {
-        return RpcWriter.error(channel.alloc(), id, "Fault", "say", why);
+    private ByteBuf faultMessage(long id, String reason) {
+        return RpcWriter.error(context.alloc(), id, "Fault", "say", reason);
     }
 
-    private void answer(ByteBuf message) {
-        answer(message, 0, null);
+    private void writeAnswer(ByteBuf message) {
+        writeAnswer(message, 0, null);
     }
 
     /**
-     * The last bytes of an answer, {@code held} of it counted against the room for all.
+     * Writes an answer.
      *
-     * @param q the query whose final answer it is, or null
+     * @param heldBytes how much of it counts against the front's memory limit until it is flushed
+     * @param q the query that it answers, or null
      */
-    private void answer(ByteBuf message, int held, OpenQuery q) {
-        unread++;
-        front.hold(held);
+    private void writeAnswer(ByteBuf message, int heldBytes, OpenQuery q) {
+        unsentAnswers++;
+        front.hold(heldBytes);
         if (q != null) {
-            front.misses().decided(q);
+            front.deadlineMisses().answerDecided(q);
         }
-        channel.writeAndFlush(message).addListener(done -> {
-            unread--;
-            front.hold(-held);
-            progress |= held > 0;
+        context.writeAndFlush(message).addListener(done -> {
+            unsentAnswers--;
+            front.hold(-heldBytes);
+            answerFlushed |= heldBytes > 0;
             if (q != null && done.isSuccess()) {
-                front.misses().written(q);
+                front.deadlineMisses().answerWritten(q);
             } else if (q != null) {
-                front.misses().dropped(q, endedHere);
+                front.deadlineMisses().answerDropped(q, closedByFront);
             }
         });
-        // It is read from all the same, as only so its close and its revokes are seen. No client has so many
-        // open, and each answer here, however small, takes room.
-        if (unread > front.limits().clientUnread && !ending) {
-            front.log().line("client connection closed, it does not read", unread + " answers wait");
+        // Reading goes on while answers wait, as closes and revokes are seen only that way. So a client that
+        // never reads must be cut off: each answer takes memory, and no client has this many requests open.
+        if (unsentAnswers > front.limits().clientUnread && !closing) {
+            front.log().line("client connection closed, client does not read",
+                    unsentAnswers + " answers wait");
             close(CloseReason.NOT_READING);
         }
     }
 
-    /** Whether it has been there for long enough to have sent something. */
-    boolean hadItsChance() {
-        return ticks >= front.limits().chanceTicks;
+    /** Returns whether the client has had time to send its first request. */
+    boolean isPastGracePeriod() {
+        return unusedTicks >= front.limits().chanceTicks;
     }
 
-    private void use() {
-        useful = true;
+    /** Records a valid request or an answer. */
+    private void markUsed() {
+        everUsed = true;
         lastUsedAt = front.clock().now();
-        front.roster().used(this);
+        front.roster().markUsed(this);
     }
 
-    boolean idleSince(long time) {
-        return open.isEmpty() && lastUsedAt < time && !unsent();
+    boolean isIdleSince(long time) {
+        return openQueries.isEmpty() && lastUsedAt < time && !unsent();
     }
 
     boolean unsent() {
-        return pending() > 0;
+        return pendingBytes() > 0;
     }
 
-    private long pending() {
-        return SocketReads.pending(channel.channel());
+    /** Returns how many bytes wait in the write buffer. */
+    private long pendingBytes() {
+        return SocketReads.pending(context.channel());
     }
 
-    /** Sees to a connection that the selector does not know, or does not know to be waited for. */
-    private void lookPastSelector() {
-        Channel connection = channel.channel();
-        boolean waitsUnsent = pending() > 0 && pending() >= unsentBytes && !progress;
-        boolean found = !ending && socket.findsUntold(connection, front.clock().now());
-        if (found || waitsUnsent && SocketReads.sendsUntold(connection)) {
+    /** Registers the socket anew if the selector has missed input, or that it can be written to. */
+    private void reregisterIfMissed() {
+        Channel connection = context.channel();
+        boolean outputStalled = pendingBytes() > 0 && pendingBytes() >= lastPendingBytes && !answerFlushed;
+        boolean missedInput = !closing && inboundSocket.findsUntold(connection, front.clock().now());
+        if (missedInput || outputStalled && SocketReads.sendsUntold(connection)) {
             front.registersAnew(connection);
         }
     }
 
-    /** Cuts off a client that takes nothing any more: what waits for it takes room from others' answers. */
+    /** Runs the periodic checks: closes connections that are stalled, idle, unused or stuck in a message. */
     void tick(long now) {
-        lookPastSelector();
-        long waits = pending();
-        if (waits == 0 || waits < unsentBytes || progress) {
-            sentAt = now;
+        reregisterIfMissed();
+        long pendingBytes = pendingBytes();
+        if (pendingBytes == 0 || pendingBytes < lastPendingBytes || answerFlushed) {
+            lastProgressAt = now;
         }
-        progress = false;
-        unsentBytes = waits;
-        if (now - sentAt >= front.limits().clientStall * 10L) {
-            front.log().line("client connection closed, it does not read", waits + " bytes wait");
+        answerFlushed = false;
+        lastPendingBytes = pendingBytes;
+        if (now - lastProgressAt >= front.limits().clientStall * 10L) {
+            front.log().line("client connection closed, client does not read", pendingBytes + " bytes wait");
             close(CloseReason.NOT_READING);
-        } else if (idleSince(now - front.limits().clientIdle * 10L)) {
-            // A query may lie unread just now.
-            if (there() && idleSince(now - front.limits().clientIdle * 10L)) {
+        } else if (isIdleSince(now - front.limits().clientIdle * 10L)) {
+            // There may be a query in the socket, not yet read.
+            if (there() && isIdleSince(now - front.limits().clientIdle * 10L)) {
                 shut(CloseReason.IDLE);
             }
-        } else if (!useful && ++ticks > front.limits().silentTicks) {
-            front.log().line("client connection closed, nothing of use came", "");
+        } else if (!everUsed && ++unusedTicks > front.limits().silentTicks) {
+            front.log().line("client connection closed, no valid request received", "");
             shut(CloseReason.NOTHING_OF_USE);
-        } else if (unfinished()) {
-            front.log().line("client connection closed, a message does not end", "");
+        } else if (isMessageOverdue()) {
+            front.log().line("client connection closed, message incomplete for too long", "");
             shut(CloseReason.UNFINISHED_MESSAGE);
         }
     }
 
     /**
-     * Whether a message has begun that does not end. A client that has been served may write slowly, as
-     * long as it writes; while a query of its own is open, that goes first. Ticks, not spans: time in which
-     * the front itself stood still must not count against a client.
+     * Returns whether a message has been incomplete for too long. A client that has been served may write
+     * slowly as long as bytes arrive, and the limit does not apply while it has requests open. Counted in
+     * periodic checks, not in time: a stall of the front must not count against the client.
      */
-    private boolean unfinished() {
-        boolean waits = decoder.midway() && decoder.messages() == messages && reads();
-        boolean stalls = waits && socket.bytes() == bytes;
-        messages = decoder.messages();
-        bytes = socket.bytes();
-        unfinishedTicks = waits ? unfinishedTicks + 1 : 0;
-        stalledTicks = stalls ? stalledTicks + 1 : 0;
-        if (busy()) {
+    private boolean isMessageOverdue() {
+        boolean partial = decoder.hasPartialMessage() && decoder.messageCount() == lastMessageCount
+                && reads();
+        boolean stalled = partial && inboundSocket.bytes() == lastByteCount;
+        lastMessageCount = decoder.messageCount();
+        lastByteCount = inboundSocket.bytes();
+        partialMessageTicks = partial ? partialMessageTicks + 1 : 0;
+        stalledMessageTicks = stalled ? stalledMessageTicks + 1 : 0;
+        if (hasOpenWork()) {
             return false;
         }
-        return (useful ? stalledTicks : unfinishedTicks) > front.limits().unfinishedTicks
-                || unfinishedTicks > front.limits().slowTicks;
+        return (everUsed ? stalledMessageTicks : partialMessageTicks) > front.limits().unfinishedTicks
+                || partialMessageTicks > front.limits().slowTicks;
     }
 
-    /** At once. What is still unread, or not yet sent, is lost with it. */
+    /** Closes the connection at once; unread input and unsent answers are lost. */
     void close() {
-        channel.close();
+        context.close();
     }
 
-    private void close(CloseReason why) {
-        endedHere = true;
-        front.counters().add(why);
+    private void close(CloseReason reason) {
+        closedByFront = true;
+        front.counters().add(reason);
         close();
     }
 
     /**
-     * An orderly end: the last answers go out, then the write side is shut, and what crosses that is read to
-     * its end and thrown away, for a bounded time. A close over unread bytes would reset the connection and
-     * take answers on their way with it; and what is read after the shutdown can't be answered any more, so
-     * that it must not be sent on. Its client sees the end and asks again elsewhere.
+     * Closes the connection gracefully: flushes the last answers, shuts down the output, and reads and
+     * discards further input for a bounded time. A close with unread input would reset the connection and
+     * lose answers in flight. Requests read after the shutdown can't be answered, so they must not be sent to
+     * an engine; the client sees the end of the stream and retries elsewhere.
      */
-    void shut(CloseReason why) {
-        if (ending) {
+    void shut(CloseReason reason) {
+        if (closing) {
             return;
         }
-        ending = true;
-        endedHere = true;
-        front.counters().add(why);
-        decoder.hearNoMore();
-        answerWhatIsOpen();
-        abandon();
-        front.roster().lingers(this);
-        unsentBytes = Long.MAX_VALUE;
-        sentAt = front.clock().now();
-        lingerOn();
-        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
-            if (done.isSuccess() && channel.channel() instanceof DuplexChannel socket) {
-                socket.shutdownOutput();
+        closing = true;
+        closedByFront = true;
+        front.counters().add(reason);
+        decoder.discardInput();
+        answerOpenWork();
+        releaseQueries();
+        front.roster().addLingering(this);
+        lastPendingBytes = Long.MAX_VALUE;
+        lastProgressAt = front.clock().now();
+        scheduleLingerCheck();
+        context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
+            if (done.isSuccess() && context.channel() instanceof DuplexChannel duplex) {
+                duplex.shutdownOutput();
             } else {
                 close();
             }
@@ -402,73 +411,74 @@
     }
 
     /**
-     * Until its answers are out, or for as long as any client may take nothing: one that is silent for
-     * two seconds, and then goes on, must not have lost what waits here for it.
+     * Closes the connection once its answers are flushed, or when the client has read nothing for as long as
+     * any client may stall: one that pauses for two seconds must not lose the answers that wait.
      */
-    private void lingerOn() {
-        lingers = front.timers().in(front.limits().clientLinger * 10L, () -> {
-            long waits = pending();
+    private void scheduleLingerCheck() {
+        lingerTimer = front.timers().in(front.limits().clientLinger * 10L, () -> {
+            long pendingBytes = pendingBytes();
             long now = front.clock().now();
-            sentAt = waits < unsentBytes ? now : sentAt;
-            unsentBytes = waits;
-            if (waits > 0 && now - sentAt < front.limits().clientStall * 10L) {
-                lingerOn();
+            lastProgressAt = pendingBytes < lastPendingBytes ? now : lastProgressAt;
+            lastPendingBytes = pendingBytes;
+            if (pendingBytes > 0 && now - lastProgressAt < front.limits().clientStall * 10L) {
+                scheduleLingerCheck();
             } else {
                 close();
             }
         });
     }
 
-    /** What was taken is owed an answer, whatever its connection ends for. */
-    private void answerWhatIsOpen() {
-        List.copyOf(reads).forEach(this::turnAway);
-        List.copyOf(open.values()).forEach(front::giveUp);
+    /** Answers all open queries and page requests: each must be answered whatever the reason of the close. */
+    private void answerOpenWork() {
+        List.copyOf(pageReads).forEach(this::turnAway);
+        List.copyOf(openQueries.values()).forEach(front::answerBeforeClose);
     }
 
-    /** Nothing more is owed here. */
-    private void abandon() {
-        front.roster().gone(this);
-        List<OpenQuery> left = new ArrayList<>(open.values());
-        open.clear();
-        reads.clear();
-        left.forEach(q -> front.left(q, endedHere));
+    /** Leaves the roster and ends the remaining queries unanswered. */
+    private void releaseQueries() {
+        front.roster().remove(this);
+        List<OpenQuery> abandoned = new ArrayList<>(openQueries.values());
+        openQueries.clear();
+        pageReads.clear();
+        abandoned.forEach(q -> front.clientLeft(q, closedByFront));
     }
 
     /**
-     * Whether it is still there, by what lies in its socket now. After a stop of the loop a query, its revoke
-     * and the close of its connection lie there together, and the selector hands over one look's worth.
+     * Reads the socket to its end and returns whether the connection is still open. After a stall of the loop
+     * a query, its revoke and the close may all wait in the socket, and one selector wake-up reads only part.
      */
     boolean there() {
-        Channel connection = channel.channel();
-        if (!ending) {
-            socket.readAll(connection);
+        Channel connection = context.channel();
+        if (!closing) {
+            inboundSocket.readAll(connection);
         }
         if (!connection.isOpen()) {
-            // Netty tells so with a task of its own, after this.
-            abandon();
+            // Netty calls channelInactive only in a later task.
+            releaseQueries();
         }
-        return connection.isOpen() && !ending;
+        return connection.isOpen() && !closing;
     }
 
-    boolean busy() {
-        return !open.isEmpty() || !reads.isEmpty();
+    /** Returns whether queries are open or pages are being read. */
+    boolean hasOpenWork() {
+        return !openQueries.isEmpty() || !pageReads.isEmpty();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (!endedHere) {
-            front.counters().add(lost ? CloseReason.LOST : CloseReason.BY_CLIENT);
+        if (!closedByFront) {
+            front.counters().add(connectionLost ? CloseReason.LOST : CloseReason.BY_CLIENT);
         }
-        ending = true;
-        abandon();
-        front.roster().lingersNoMore(this);
-        front.timers().cancel(lingers);
+        closing = true;
+        releaseQueries();
+        front.roster().removeLingering(this);
+        front.timers().cancel(lingerTimer);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (!ctx.channel().isOpen() || ending && !(cause instanceof IOException)) {
-            // The rest of what was read is decoded once more at the close, and fails once more.
+        if (!ctx.channel().isOpen() || closing && !(cause instanceof IOException)) {
+            // At the close Netty decodes the rest of the input again, and it fails again.
             return;
         }
         if (cause instanceof DecoderException && cause.getCause() == null) {
@@ -479,7 +489,7 @@
             front.log().fault("client connection closed, fault", cause);
         }
         if (cause instanceof IOException) {
-            lost = true;
+            connectionLost = true;
             close();
         } else {
             shut(cause instanceof DecoderException && cause.getCause() == null ? CloseReason.BROKEN_FRAMING
--- a/src/main/java/reedspring/net/ClientRoster.java
+++ b/src/main/java/reedspring/net/ClientRoster.java
@@ -5,14 +5,15 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** The connections of clients, in the order in which they go where there is no room for another. */
+/** The client connections, in the order in which they are closed to make room for another. */
 final class ClientRoster {
     private final Front front;
     private final Limits limits;
-    /** Connections on which nothing of use has come yet, in the order of arrival; the rest by last use. */
-    private final Set<ClientConnection> newcomers = new LinkedHashSet<>();
-    private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    /** Those whose write side is shut, in the order of their ends. */
+    /** Connections without a valid request yet, in order of arrival. */
+    private final Set<ClientConnection> unusedConnections = new LinkedHashSet<>();
+    /** The other open connections, least recently used first. */
+    private final Set<ClientConnection> usedConnections = new LinkedHashSet<>();
+    /** Connections whose output is shut down, in the order of the shutdowns. */
     private final Set<ClientConnection> lingering = new LinkedHashSet<>();
     private long accepted;
 
@@ -21,92 +22,94 @@
         this.limits = limits;
     }
 
-    /** How many have come since the start. */
+    /** Returns how many connections were accepted since the start, including refused ones. */
     long accepted() {
         return accepted;
     }
 
-    /** All that are open both ways. */
+    /** Returns the connections that are open in both directions. */
     List<ClientConnection> open() {
-        return Stream.concat(newcomers.stream(), clients.stream()).toList();
+        return Stream.concat(unusedConnections.stream(), usedConnections.stream()).toList();
     }
 
-    /** Those whose write side is shut. */
+    /** Returns the connections whose output is shut down. */
     Set<ClientConnection> lingering() {
         return lingering;
     }
 
-    /** False if the connection is one too many. */
+    /** Adds a connection, closing another if the limit is reached; returns false if it must be refused. */
     boolean came(ClientConnection client) {
         accepted++;
-        if (newcomers.size() + clients.size() >= limits.clientConnections) {
+        if (unusedConnections.size() + usedConnections.size() >= limits.clientConnections) {
             front.log().line("client connections at their limit", Integer.toString(limits.clientConnections));
-            ClientConnection idle = leastClaim();
+            ClientConnection idle = findEvictable();
             if (idle != null) {
                 idle.shut(CloseReason.NO_ROOM);
-            } else if (newcomers.size() + clients.size() >= limits.clientConnections) {
+            } else if (unusedConnections.size() + usedConnections.size() >= limits.clientConnections) {
                 front.counters().add(CloseReason.NO_ROOM);
                 return false;
             }
         }
-        newcomers.add(client);
+        unusedConnections.add(client);
         return true;
     }
 
-    /** Its write side is shut, and what still comes is thrown away. */
-    void lingers(ClientConnection client) {
+    /** Adds a connection whose output is shut down and whose further input is discarded. */
+    void addLingering(ClientConnection client) {
         if (lingering.size() >= limits.lingering && !front.leaves()) {
-            // Each holds a descriptor, and a flood of ends must not take those of engines and journal.
-            ClientConnection eldest = lingering.iterator().next();
-            lingering.remove(eldest);
-            eldest.close();
+            // Each holds a descriptor; many closes at once must not use up those for engines and the journal.
+            ClientConnection oldest = lingering.iterator().next();
+            lingering.remove(oldest);
+            oldest.close();
         }
         lingering.add(client);
     }
 
-    void lingersNoMore(ClientConnection client) {
+    void removeLingering(ClientConnection client) {
         lingering.remove(client);
     }
 
     /**
-     * Those that had their chance and sent nothing of use go first. Then the longest idle: its client asks
-     * again on another. What has just come is about to ask, and would lose its query.
+     * Returns the connection to close for a new one, or null. First come those that sent no valid request in
+     * their grace period, then the one idle for longest, as its client can reconnect. A fresh connection
+     * comes last: it is probably about to send a request, which would be lost.
      */
-    private ClientConnection leastClaim() {
-        for (ClientConnection silent : List.copyOf(newcomers)) {
-            if (!silent.hadItsChance()) {
+    private ClientConnection findEvictable() {
+        for (ClientConnection silent : List.copyOf(unusedConnections)) {
+            if (!silent.isPastGracePeriod()) {
                 break;
             }
-            if (!asks(silent)) {
+            if (!hasPendingWork(silent)) {
                 return silent;
             }
         }
         long now = front.clock().now();
-        for (ClientConnection client : List.copyOf(clients)) {
-            if (client.idleSince(now) && !client.midway() && !asks(client)) {
+        for (ClientConnection client : List.copyOf(usedConnections)) {
+            if (client.isIdleSince(now) && !client.midway() && !hasPendingWork(client)) {
                 return client;
             }
         }
-        return newcomers.stream().findFirst().filter(eldest -> !asks(eldest)).orElse(null);
+        return unusedConnections.stream().findFirst().filter(eldest -> !hasPendingWork(eldest)).orElse(null);
     }
 
     /**
-     * Whether something of it lay unread. What looks idle after a stop of the loop, or a moment after it was
-     * accepted, may have asked already, and the end of its connection would cost that query.
+     * Reads the connection's socket and returns whether it must be kept, or has already closed. A connection
+     * that seems idle after a stall of the loop, or right after its accept, may have a request unread in its
+     * socket, and closing it would lose that request.
      */
-    private static boolean asks(ClientConnection client) {
-        return !client.there() || client.busy() || client.midway() || client.unsent();
+    private static boolean hasPendingWork(ClientConnection client) {
+        return !client.there() || client.hasOpenWork() || client.midway() || client.unsent();
     }
 
-    /** It has sent something of use or had an answer, and goes to the end of the line. */
-    void used(ClientConnection client) {
-        if (newcomers.remove(client) || clients.remove(client)) {
-            clients.add(client);
+    /** Moves a connection that had a valid request or an answer to the end of the closing order. */
+    void markUsed(ClientConnection client) {
+        if (unusedConnections.remove(client) || usedConnections.remove(client)) {
+            usedConnections.add(client);
         }
     }
 
-    void gone(ClientConnection client) {
-        newcomers.remove(client);
-        clients.remove(client);
+    void remove(ClientConnection client) {
+        unusedConnections.remove(client);
+        usedConnections.remove(client);
     }
 }
--- a/src/main/java/reedspring/net/CloseReason.java
+++ b/src/main/java/reedspring/net/CloseReason.java
@@ -1,25 +1,27 @@
 package reedspring.net;
 
-/** Why a connection of a client ended. */
+/** Why a client connection was closed; the counts per reason are logged. */
 enum CloseReason {
-    /** Its client closed it. */
+    /** The client closed it. */
     BY_CLIENT,
-    /** It was reset, or the network failed under it. */
+    /** It was reset, or the network failed. */
     LOST,
+    /** The input is not valid MessagePack-RPC, or exceeds a limit. */
     BROKEN_FRAMING,
-    /** Two requests that can't be told apart. */
+    /** The id or the trace of an open request was used again, so the requests can't be told apart. */
     NUMBER_USED_TWICE,
-    /** It sent nothing that could be used for too long. */
+    /** No valid request arrived in time. */
     NOTHING_OF_USE,
-    /** A message began and did not end. */
+    /** A message stayed incomplete for too long. */
     UNFINISHED_MESSAGE,
-    /** Its client takes nothing of what is sent to it. */
+    /** The client does not read its answers. */
     NOT_READING,
+    /** It was not used for longer than the idle limit. */
     IDLE,
-    /** It made room for another, or there was none for it. */
+    /** It was closed to make room for another, or refused because there was no room. */
     NO_ROOM,
-    /** The front ends. */
+    /** The front is shutting down. */
     FRONT_ENDS,
-    /** A fault of the program's own. */
+    /** An internal error. */
     FAULT
 }
--- a/src/main/java/reedspring/net/DeadlineMisses.java
+++ b/src/main/java/reedspring/net/DeadlineMisses.java
@@ -3,16 +3,16 @@
 import java.util.Locale;
 
 /**
- * Tells of each query whose answer left after its time, or never, how it went from its arrival to its end:
- * times alone, as only those show what held it up. Some are named in a span, the rest are counted.
+ * Logs each query whose answer was sent after its deadline, or never, with the times of its steps, which show
+ * what delayed it. A bounded number is logged per interval; the rest are counted.
  */
 final class DeadlineMisses {
     private final Limits limits;
     private final Clock clock;
     private final Timers timers;
     private final Log log;
-    private long spanEnd;
-    private int named;
+    private long spanEndsAt;
+    private int loggedInSpan;
 
     DeadlineMisses(Limits limits, Clock clock, Timers timers, Log log) {
         this.limits = limits;
@@ -21,71 +21,72 @@
         this.log = log;
     }
 
-    /** Its answer is about to be written. */
-    void decided(OpenQuery q) {
-        q.decidedAt = clock.now();
-        q.behind = q.decidedAt - timers.earliestArrival();
+    /** Records that the answer of a query is about to be written. */
+    void answerDecided(OpenQuery q) {
+        q.answerDecidedAt = clock.now();
+        q.loopDelay = q.answerDecidedAt - timers.earliestArrival();
     }
 
-    /** The system has taken the last byte of its answer. */
-    void written(OpenQuery q) {
+    /** Checks a query whose last byte the kernel has accepted. */
+    void answerWritten(OpenQuery q) {
         long now = clock.now();
-        if (late(q, now)) {
-            tell("answer late", q, now);
+        if (isLate(q, now)) {
+            report("answer late", q, now);
         }
     }
 
-    /** What was to be written can't be any more. */
-    void dropped(OpenQuery q, boolean endedHere) {
+    /** Reports an answer that could not be written. */
+    void answerDropped(OpenQuery q, boolean closedByFront) {
         long now = clock.now();
-        if (endedHere) {
-            tell("answer dropped, the front ended its connection", q, now);
-        } else if (late(q, now)) {
-            // Its client's end was read before the alarm that decided, and is heard of only after that turn.
-            tell("query unanswered past its time, its client has gone", q, now);
+        if (closedByFront) {
+            report("answer dropped, the front ended its connection", q, now);
+        } else if (isLate(q, now)) {
+            // The close was read before the timer that decided the answer ran, but Netty reports it later.
+            report("query unanswered past its time, its client has gone", q, now);
         } else {
-            // Its client has gone, as many do.
+            // The client left in time, which is routine.
             log.line("answer dropped, its connection had gone", q.trace);
         }
     }
 
-    /** Nobody waits for it any more, and it has no answer. */
-    void unanswered(OpenQuery q, boolean endedHere) {
+    /** Checks a query that ended unanswered because its connection closed or its client revoked it. */
+    void queryUnanswered(OpenQuery q, boolean closedByFront) {
         long now = clock.now();
-        q.behind = now - timers.earliestArrival();
-        if (endedHere) {
-            tell("query unanswered, the front ended its connection", q, now);
-        } else if (late(q, now)) {
-            tell("query unanswered past its time, its client has gone", q, now);
-        } else if (q.out != null && q.out.written
-                && q.out.sentAt - (now - q.behind) > limits.sentToGone * 10L) {
-            // Its end may have come before the submission went out, unseen.
-            tell("submission perhaps begun after its client had gone", q, now);
+        q.loopDelay = now - timers.earliestArrival();
+        if (closedByFront) {
+            report("query unanswered, the front ended its connection", q, now);
+        } else if (isLate(q, now)) {
+            report("query unanswered past its time, its client has gone", q, now);
+        } else if (q.submission != null && q.submission.written
+                && q.submission.sentAt - (now - q.loopDelay) > limits.sentToGone * 10L) {
+            // The client may have left, unnoticed, before the submission was sent.
+            report("submission may have begun after its client left", q, now);
         }
     }
 
-    private boolean late(OpenQuery q, long now) {
-        return now - q.leavesAt > limits.lateAnswer * 10L;
+    private boolean isLate(OpenQuery q, long now) {
+        return now - q.deadline > limits.lateAnswer * 10L;
     }
 
-    /** Of a kind of its own, so that each is told; in a span only so many, as a long stop makes many late. */
-    private void tell(String event, OpenQuery q, long now) {
-        if (now >= spanEnd) {
-            spanEnd = now + limits.logEvery * 10L;
-            named = 0;
+    /** Logs a query in a line of its own, up to a limit per interval, as a long stall makes many late. */
+    private void report(String event, OpenQuery q, long now) {
+        if (now >= spanEndsAt) {
+            spanEndsAt = now + limits.logEvery * 10L;
+            loggedInSpan = 0;
         }
-        if (named++ >= limits.missesNamed) {
-            log.line(event + ", not named", "");
+        if (loggedInSpan++ >= limits.missesNamed) {
+            log.line(event + ", details omitted", "");
             return;
         }
         log.remark(event, String.format(Locale.ROOT, "%s: %s by %d ms; of %d ms: sent %s, heard %s, "
                         + "decided %s, ended %d; %d submissions, loop behind %d ms; %s", event, q.trace,
-                (now - q.leavesAt) / 10, (q.leavesAt - q.takenAt) / 10, since(q, q.firstSentAt),
-                since(q, q.heardAt), since(q, q.decidedAt), (now - q.takenAt) / 10, q.submissions,
-                q.behind / 10, q.history.text()));
+                (now - q.deadline) / 10, (q.deadline - q.arrivedAt) / 10,
+                millisSinceArrival(q, q.firstSentAt), millisSinceArrival(q, q.heardAt),
+                millisSinceArrival(q, q.answerDecidedAt), (now - q.arrivedAt) / 10, q.submissions,
+                q.loopDelay / 10, q.history.describe()));
     }
 
-    private static String since(OpenQuery q, long at) {
-        return at == 0 ? "never" : Long.toString((at - q.takenAt) / 10);
+    private static String millisSinceArrival(OpenQuery q, long time) {
+        return time == 0 ? "never" : Long.toString((time - q.arrivedAt) / 10);
     }
 }
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -28,11 +28,14 @@
 import reedspring.net.QueryHistory.Step;
 
 /**
- * The front's loop: hands each event to the decisions, one at a time, and does what they ask for. It owns the
- * queries and their submissions; what an action brings about at once comes back as an event after it.
+ * The core of the front, confined to its event loop. Passes events one at a time to {@link Control}, which
+ * makes the decisions, and executes the actions that it returns. Owns the open queries and their submissions.
+ * Events caused by an action are queued and processed after the current event.
+ *
+ * <p>Times are counted in ticks of a tenth of a millisecond; limits are in milliseconds.
  */
 final class Front {
-    private static final Pattern FIGURE = Pattern.compile("[0-9][0-9.eE+-]{0,31}");
+    private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9][0-9.eE+-]{0,31}");
 
     private final Boot boot;
     private final Limits limits;
@@ -42,36 +45,36 @@
     private final Counters counters = new Counters();
     private final StallProbe probe;
     private final Timers timers;
-    private final DeadlineMisses misses;
+    private final DeadlineMisses deadlineMisses;
     private final SubmissionRunner engines;
     private final Control control;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
-    /** What is known of engines goes before all else that has come. */
-    private final ArrayDeque<Event> news = new ArrayDeque<>();
-    private final ArrayDeque<Submission> departures = new ArrayDeque<>();
+    /** Engine lists from the journal; processed before all other events. */
+    private final ArrayDeque<Event> engineEvents = new ArrayDeque<>();
+    private final ArrayDeque<Submission> sendQueue = new ArrayDeque<>();
     private final EventLoop loop;
-    private Runnable source = () -> { };
-    private Runnable ending = () -> { };
-    private AcceptGuard listener;
+    private Runnable journalReader = () -> { };
+    private Runnable listenerCloser = () -> { };
+    private AcceptGuard acceptGuard;
     private KeptAnswers kept;
-    private long newsAt;
-    private final Map<Id.Query, OpenQuery> queries = new LinkedHashMap<>();
-    private final Map<Long, OpenQuery> traces = new HashMap<>();
+    private long journalReadAt;
+    private final Map<Id.Query, OpenQuery> queriesById = new LinkedHashMap<>();
+    private final Map<Long, OpenQuery> queriesByTrace = new HashMap<>();
     private final RecentIds recentTraces;
     private final ClientRoster roster;
     private boolean deciding;
     private boolean listed;
     private boolean leaving;
-    private long stayUntil = Long.MAX_VALUE;
-    private long ids;
-    private long held;
-    private long sumAt;
+    private long leavingDeadline = Long.MAX_VALUE;
+    private long lastQueryId;
+    private long heldBytes;
+    private long nextLogSummaryAt;
 
     Front(EventLoop loop, Turns turns, Boot boot, Limits limits, Log log, long seed) {
         this(loop, turns, boot, limits, log, seed, front -> new Engines(loop, limits, front));
     }
 
-    /** {@code runner} makes what runs submissions; it may not use the front before this has returned. */
+    /** @param runner creates the submission runner; must not use the front until the constructor returns */
     Front(EventLoop loop, Turns turns, Boot boot, Limits limits, Log log, long seed,
             Function<Front, SubmissionRunner> runner) {
         this.loop = loop;
@@ -83,13 +86,13 @@
         this.probe = new StallProbe(log, limits.stoodStill);
         turns.watchedBy(probe);
         this.timers = new Timers(loop, turns, clock, log, limits, probe);
-        this.misses = new DeadlineMisses(limits, clock, timers, log);
+        this.deadlineMisses = new DeadlineMisses(limits, clock, timers, log);
         this.roster = new ClientRoster(this, limits);
         this.recentTraces = new RecentIds(limits.recentTraces);
         this.engines = runner.apply(this);
-        this.sumAt = clock.now() + limits.logEvery * 10L;
+        this.nextLogSummaryAt = clock.now() + limits.logEvery * 10L;
         deciding = true;
-        this.control = new Control(seed, boot.deployment(), clock.now(), this::act);
+        this.control = new Control(seed, boot.deployment(), clock.now(), this::performSafely);
         deciding = false;
         timers.in(limits.tick * 10L, this::tick);
     }
@@ -122,21 +125,21 @@
         return timers;
     }
 
-    DeadlineMisses misses() {
-        return misses;
+    DeadlineMisses deadlineMisses() {
+        return deadlineMisses;
     }
 
     Limits limits() {
         return limits;
     }
 
-    /** Where answers are kept on disk, or null. */
+    /** Returns the on-disk store of answers, or null if the spool is off. */
     KeptAnswers kept() {
         return kept;
     }
 
-    void keepsAnswers(KeptAnswers where) {
-        kept = where;
+    void keepsAnswers(KeptAnswers answers) {
+        kept = answers;
     }
 
     EventLoop loop() {
@@ -144,100 +147,108 @@
     }
 
     /**
-     * What follows from a dial, on the loop: without a descriptor there is no channel, and Netty tells so on
-     * a thread of its own, with a channel that was never opened and so is never closed either.
+     * Runs {@code action} on the event loop when the connect attempt completes. If no file descriptor is
+     * available, Netty completes the future on another thread, with a channel that was never opened and is
+     * therefore never closed.
      */
-    void dialled(ChannelFuture dialled, Consumer<ChannelFuture> then) {
-        dialled.addListener(done -> {
+    void dialled(ChannelFuture dial, Consumer<ChannelFuture> action) {
+        dial.addListener(done -> {
             if (loop.inEventLoop()) {
-                then.accept(dialled);
+                action.accept(dial);
             } else {
-                loop.execute(() -> then.accept(dialled));
+                loop.execute(() -> action.accept(dial));
             }
         });
     }
 
-    /** One that never came to be has no loop, and fails at its close. */
+    /** Closes a channel if it is registered: without an event loop, close() would fail. */
     static void close(Channel channel) {
         if (channel.isRegistered()) {
             channel.close();
         }
     }
 
+    /** Returns whether a graceful shutdown has begun. */
     boolean leaves() {
         return leaving;
     }
 
-    /** Whether it can decide and means to stay. */
-    boolean able() {
+    /** Returns whether the front has an engine list and is not shutting down. */
+    boolean isReady() {
         return listed && !leaving;
     }
 
-    // ---- engines as the journal lists them
+    // ---- engine list from the journal
 
     void listed(Event.Reading reading, List<Host> hosts) {
         engines.listed(reading, hosts);
         listed = true;
-        news.add(new Event.EnginesListed(reading, hosts.stream().map(Host::listing).toList()));
-        settle();
+        engineEvents.add(new Event.EnginesListed(reading, hosts.stream().map(Host::listing).toList()));
+        processEvents();
     }
 
-    /** Where news of engines come from: reads what has come to its socket so far, and may find nothing. */
+    /** Sets the reader that drains the journal's socket; it may find nothing to read. */
     void newsFrom(Runnable reader) {
-        source = reader;
+        journalReader = reader;
     }
 
     /**
-     * Reads the news before anything is decided or sent on, unless that was done a moment ago. The selector
-     * hands over sockets in any order: after a stop of the loop, queries that came before a drain notice
-     * would be sent on without it, long after the notice lay in the front's own socket.
+     * Reads pending journal events before a decision or a send, unless that was done a moment ago. The
+     * selector returns ready sockets in any order: after a stall of the loop, queries could otherwise be sent
+     * to an engine long after its drain notice had arrived in the front's own socket.
      */
-    private void refresh() {
-        long at = clock.now();
-        if (at - newsAt >= limits.newsAge * 10L) {
-            newsAt = at;
-            source.run();
+    private void readJournal() {
+        long now = clock.now();
+        if (now - journalReadAt >= limits.newsAge * 10L) {
+            journalReadAt = now;
+            journalReader.run();
         }
     }
 
     // ---- clients
 
-    /** The query, still to be decided, or null if it was answered here. */
-    OpenQuery take(ClientConnection client, RpcDecoder.Call call, long arrivedAt) {
+    /**
+     * Validates a request and opens a query for it.
+     *
+     * @return the query, for {@link #startDecisions}, or null if the request was refused and answered here
+     */
+    OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Call call, long arrivedAt) {
         QueryRequest request = QueryRequest.of(call, boot, limits);
-        OpenQuery same = traces.get(request.traceId());
-        String fault = request.fault() != null ? request.fault() : repeatedTrace(request);
+        OpenQuery sameTraceQuery = queriesByTrace.get(request.traceId());
+        String fault = request.fault() != null ? request.fault() : findTraceReuse(request);
         if (request.fault() != null) {
             counters.add(RequestRefusal.UNUSABLE);
         }
         if (fault != null) {
-            log.line("request that can't be used", fault);
-            if (same != null && same.client == client && same.trace.equals(request.trace())) {
-                client.spoilt(call.id(), fault);
+            log.line("request refused", fault);
+            if (sameTraceQuery != null && sameTraceQuery.client == client
+                    && sameTraceQuery.trace.equals(request.trace())) {
+                client.closeForReusedId(call.id(), fault);
             } else {
-                client.error(call.id(), fault);
+                client.sendError(call.id(), fault);
             }
             return null;
         }
-        if (queries.size() >= limits.queries || held > limits.heldBytes) {
+        if (queriesById.size() >= limits.queries || heldBytes > limits.heldBytes) {
             recentTraces.add(request.traceId());
             counters.add(RequestRefusal.NO_ROOM);
             client.turnAway(call.id());
             return null;
         }
-        OpenQuery q = opened(client, call, request, arrivedAt);
-        queries.put(q.id, q);
-        traces.put(q.traceId, q);
+        OpenQuery q = createQuery(client, call, request, arrivedAt);
+        queriesById.put(q.id, q);
+        queriesByTrace.put(q.traceId, q);
         recentTraces.add(q.traceId);
         hold(q.statement.readableBytes());
-        q.end = timers.at(q.leavesAt + limits.lastResort * 10L, () -> overdue(q));
-        q.taken = new Event.Taken(q.id, request.group(), request.tenant(), Statement.dataSet(q.statement),
-                Times.nearest(request.estimate()), request.needMb(), q.leavesAt, null);
+        q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
+        q.taken = new Event.Taken(q.id, request.group(), request.tenant(),
+                StatementScanner.findDataSet(q.statement), Times.nearest(request.estimateMs()),
+                request.needMb(), q.deadline, null);
         return q;
     }
 
-    /** A request is turned away unseen. Its client asks again under another trace. */
-    void turnedAway(RpcDecoder.Call call) {
+    /** Records the trace of a request that is turned away; its client must retry under a new one. */
+    void recordTurnedAway(RpcDecoder.Call call) {
         QueryRequest request = QueryRequest.of(call, boot, limits);
         counters.add(RequestRefusal.NO_ROOM);
         if (request.fault() == null) {
@@ -246,11 +257,12 @@
     }
 
     /**
-     * An engine knows a query by its trace alone. One that comes again, be it while its query is open or
-     * after its answer, belongs to another request; sent on, it would be another statement under that name.
+     * Checks whether the trace was used before; returns the error text, or null. Engines identify a query by
+     * its trace alone, so a second request with the trace of an open or answered query would reach them as
+     * another statement under the same identity.
      */
-    private String repeatedTrace(QueryRequest request) {
-        if (traces.containsKey(request.traceId())) {
+    private String findTraceReuse(QueryRequest request) {
+        if (queriesByTrace.containsKey(request.traceId())) {
             counters.add(RequestRefusal.TRACE_OPEN);
             return "the trace is open already";
         }
@@ -261,42 +273,43 @@
         return null;
     }
 
-    private OpenQuery opened(ClientConnection client, RpcDecoder.Call call, QueryRequest request,
+    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Call call, QueryRequest request,
                              long arrivedAt) {
-        Deployment.ResourceGroup known = boot.deployment().groups().get(request.group().index());
-        OpenQuery q = new OpenQuery(new Id.Query(++ids), call, client, request,
-                Math.min(stayUntil, arrivedAt + Times.nearest(request.patience())),
-                new QueryLifecycle(known, boot.deployment().allowed().submissions()));
-        q.takenAt = arrivedAt;
+        Deployment.ResourceGroup resourceGroup = boot.deployment().groups().get(request.group().index());
+        OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, request,
+                Math.min(leavingDeadline, arrivedAt + Times.nearest(request.timeoutMs())),
+                new QueryLifecycle(resourceGroup, boot.deployment().allowed().submissions()));
+        q.arrivedAt = arrivedAt;
         q.history.add(Step.TAKEN, null, arrivedAt);
         q.paged = kept != null && "1".equals(call.fields().get("pages"));
         if (q.paged) {
             q.tenant = call.fields().getOrDefault("customer", "");
-            q.repeatable = known.effect() == Deployment.Effect.READ_ONLY
-                    || known.effect() == Deployment.Effect.TOKENED
-                            && known.recognised() == Deployment.Recognised.ALL;
+            q.repeatable = resourceGroup.effect() == Deployment.Effect.READ_ONLY
+                    || resourceGroup.effect() == Deployment.Effect.TOKENED
+                            && resourceGroup.recognised() == Deployment.Recognised.ALL;
         }
         return q;
     }
 
-    void decide(OpenQuery q) {
-        on(q.taken);
+    /** Hands a new query to the decisions. */
+    void startDecisions(OpenQuery q) {
+        enqueueEvent(q.taken);
     }
 
-    /** The client has gone or has revoked it, or the front ended its connection. */
-    void left(OpenQuery q, boolean endedHere) {
+    /** Ends a query whose client disconnected or revoked it, or whose connection the front closed. */
+    void clientLeft(OpenQuery q, boolean closedByFront) {
         if (!q.answered()) {
-            misses.unanswered(q, endedHere);
+            deadlineMisses.queryUnanswered(q, closedByFront);
             q.lifecycle.clientLeft();
             q.history.add(Step.CLIENT_LEFT, null, clock.now());
             counters.add(Step.CLIENT_LEFT);
-            on(new Event.Left(q.id));
-            forget(q);
+            enqueueEvent(new Event.Left(q.id));
+            releaseIfDone(q);
         }
     }
 
-    /** Its connection has to end, and nothing may end unanswered: it gets the answer that it can have now. */
-    void giveUp(OpenQuery q) {
+    /** Answers a query whose connection is about to be closed: deferred if a retry is safe, else failed. */
+    void answerBeforeClose(OpenQuery q) {
         if (q.answered()) {
             return;
         }
@@ -305,125 +318,130 @@
         } else {
             fail(q, "the connection had to end");
         }
-        on(new Event.Left(q.id));
-        forget(q);
+        enqueueEvent(new Event.Left(q.id));
+        releaseIfDone(q);
     }
 
-    private void overdue(OpenQuery q) {
+    /** Fails a query that the decisions have left unanswered past its deadline. */
+    private void failOverdue(OpenQuery q) {
         if (!q.answered()) {
             log.line("query overdue, killed by the front", q.trace);
             fail(q, "no answer in time");
-            on(new Event.Left(q.id));
-            forget(q);
+            enqueueEvent(new Event.Left(q.id));
+            releaseIfDone(q);
         }
     }
 
     // ---- final answers
 
-    private void defer(OpenQuery q, long comeBack) {
+    private void defer(OpenQuery q, long retryAfter) {
         Verdict verdict = q.lifecycle.answer(Answer.DEFERRED);
         if (verdict == Verdict.UNSAFE_DEFERRAL) {
-            refused(verdict, q);
+            recordRefusal(verdict, q);
             fail(q, "failed");
-        } else if (answers(q, verdict, Step.DEFERRED)) {
-            q.client.defer(q, comeBack);
+        } else if (recordAnswer(q, verdict, Step.DEFERRED)) {
+            q.client.sendDeferral(q, retryAfter);
         }
     }
 
-    private void fail(OpenQuery q, String why) {
-        if (answers(q, q.lifecycle.answer(Answer.FAILED), Step.FAILED)) {
-            q.client.kill(q, why);
+    private void fail(OpenQuery q, String reason) {
+        if (recordAnswer(q, q.lifecycle.answer(Answer.FAILED), Step.FAILED)) {
+            q.client.sendKill(q, reason);
         }
     }
 
     private void serve(OpenQuery q, Submission s) {
-        if (!answers(q, q.lifecycle.answer(Answer.SERVED), Step.SERVED)) {
+        if (!recordAnswer(q, q.lifecycle.answer(Answer.SERVED), Step.SERVED)) {
             return;
         }
         if (s.handle != null) {
-            q.client.firstPage(q, s);
+            q.client.sendFirstPage(q, s);
         } else if (s.missing == 0) {
-            q.client.rows(q, List.of(s.pages));
+            q.client.sendRows(q, List.of(s.pages));
         } else {
-            q.client.kill(q, "no room for the result");
+            q.client.sendKill(q, "no room for the result");
         }
     }
 
-    private boolean answers(OpenQuery q, Verdict verdict, Step how) {
+    /** Records the final answer if {@code verdict} allows it; returns whether it may be sent. */
+    private boolean recordAnswer(OpenQuery q, Verdict verdict, Step step) {
         if (!verdict.allowed()) {
-            refused(verdict, q);
+            recordRefusal(verdict, q);
             return false;
         }
-        q.history.add(how, null, clock.now());
-        counters.add(how);
+        q.history.add(step, null, clock.now());
+        counters.add(step);
         return true;
     }
 
-    /** Something was not done since a rule forbids it; a breach shows a fault of the program's own. */
-    private void refused(Verdict verdict, OpenQuery q) {
+    /** Counts an operation that a lifecycle rule forbade; a breach indicates a bug and is logged. */
+    private void recordRefusal(Verdict verdict, OpenQuery q) {
         counters.add(verdict);
         if (verdict.breach()) {
             log.remark("rule would be broken", "rule would be broken, not done: " + verdict + " " + q.trace
-                    + ": " + q.history.text());
+                    + ": " + q.history.describe());
         }
     }
 
-    private void forget(OpenQuery q) {
-        if (q.answered() && q.out == null && queries.remove(q.id) != null) {
-            timers.cancel(q.end);
-            traces.remove(q.traceId, q);
+    /** Removes the query once it is answered and no submission is running. */
+    private void releaseIfDone(OpenQuery q) {
+        if (q.answered() && q.submission == null && queriesById.remove(q.id) != null) {
+            timers.cancel(q.expiryTimer);
+            queriesByTrace.remove(q.traceId, q);
             hold(-q.statement.readableBytes());
             q.statement.release();
         }
     }
 
-    /** Counts bytes that wait in the front, for the limit on all of them. */
+    /** Adds {@code bytes}, which may be negative, to the total of bytes held, which is limited. */
     void hold(long bytes) {
-        held += bytes;
+        heldBytes += bytes;
     }
 
-    /** For what has come of a request so far; true if there is room for it. */
-    boolean piece(int more) {
-        held += more;
-        return held <= limits.heldBytes;
+    /** Adds bytes of partially received requests; returns whether the total is within the limit. */
+    boolean addPartialMessageBytes(int bytes) {
+        heldBytes += bytes;
+        return heldBytes <= limits.heldBytes;
     }
 
+    /** Returns whether the bytes held exceed their limit. */
     boolean full() {
-        return held > limits.heldBytes;
+        return heldBytes > limits.heldBytes;
     }
 
     // ---- decisions
 
-    private void on(Event event) {
+    private void enqueueEvent(Event event) {
         events.add(event);
-        settle();
+        processEvents();
     }
 
-    private void settle() {
+    /** Processes queued events until none is left; returns at once when called from within an event. */
+    private void processEvents() {
         if (deciding) {
             return;
         }
         deciding = true;
         try {
-            while (!news.isEmpty() || !events.isEmpty()) {
-                refresh();
-                Event next = news.isEmpty() ? events.poll() : news.poll();
-                long began = probe.decides();
+            while (!engineEvents.isEmpty() || !events.isEmpty()) {
+                readJournal();
+                Event next = engineEvents.isEmpty() ? events.poll() : engineEvents.poll();
+                long startedAt = probe.decides();
                 try {
-                    control.on(clock.now(), next, this::act);
+                    control.on(clock.now(), next, this::performSafely);
                 } catch (RuntimeException | Error e) {
-                    // What it was about is answered at its time at the latest, by the front itself.
+                    // The expiry timer still answers the query concerned.
                     log.fault("a decision failed", e);
                 }
-                probe.decided(began, next);
+                probe.decided(startedAt, next);
             }
         } finally {
             deciding = false;
         }
     }
 
-    /** A fault in what is done must not reach the decisions half-way through an event. */
-    private void act(Action action) {
+    /** Performs an action; an exception must not propagate into the decisions in the middle of an event. */
+    private void performSafely(Action action) {
         try {
             perform(action);
         } catch (RuntimeException | Error e) {
@@ -435,115 +453,116 @@
         if (action instanceof Action.Submit submit) {
             submit(submit);
         } else if (action instanceof Action.SetPriority set) {
-            OpenQuery q = queries.get(set.query());
+            OpenQuery q = queriesById.get(set.query());
             if (q != null) {
                 q.priority = set.priority();
-                if (q.out != null && q.out.connection != null) {
-                    q.out.connection.renice(q.out);
+                if (q.submission != null && q.submission.connection != null) {
+                    q.submission.connection.renice(q.submission);
                 }
             }
         } else if (action instanceof Action.Cancel cancel) {
-            OpenQuery q = queries.get(cancel.query());
-            if (q != null && q.out != null && q.out.number.equals(cancel.submission())) {
-                Submission s = q.out;
+            OpenQuery q = queriesById.get(cancel.query());
+            if (q != null && q.submission != null && q.submission.number.equals(cancel.submission())) {
+                Submission s = q.submission;
                 if (s.connection != null) {
                     s.connection.cancel(s);
                 }
                 closed(s, s.written ? Outcome.CANCELLED : Outcome.NOT_SENT);
             }
         } else if (action instanceof Action.Defer defer) {
-            OpenQuery q = unanswered(defer.query());
+            OpenQuery q = findUnanswered(defer.query());
             if (q != null) {
                 defer(q, defer.comeBack());
-                forget(q);
+                releaseIfDone(q);
             }
         } else if (action instanceof Action.Kill kill) {
-            OpenQuery q = unanswered(kill.query());
+            OpenQuery q = findUnanswered(kill.query());
             if (q != null) {
                 fail(q, "failed");
-                forget(q);
+                releaseIfDone(q);
             }
         } else if (action instanceof Action.WakeMe wake) {
-            timers.in(wake.span(), () -> on(new Event.Woken(wake.timer())));
+            timers.in(wake.span(), () -> enqueueEvent(new Event.Woken(wake.timer())));
         } else if (action instanceof Action.Remark remark) {
             log.remark("decision", remark.text());
         }
-        // FollowEngines asks for nothing more here: the journal is followed from the start.
+        // FollowEngines needs no action: the journal is followed from the start.
     }
 
-    private OpenQuery unanswered(Id.Query id) {
-        OpenQuery q = queries.get(id);
+    private OpenQuery findUnanswered(Id.Query id) {
+        OpenQuery q = queriesById.get(id);
         return q == null || q.answered() ? null : q;
     }
 
     private void submit(Action.Submit submit) {
-        OpenQuery q = queries.get(submit.query());
-        if (q == null || q.out != null) {
+        OpenQuery q = queriesById.get(submit.query());
+        if (q == null || q.submission != null) {
             counters.add(q == null ? Verdict.QUERY_OVER : Verdict.ATTEMPT_OUT);
             log.line("submission for a query that is over", Long.toString(submit.query().value()));
             return;
         }
         long now = clock.now();
-        long timeoutAt = submit.timeout() > 0 ? Math.min(q.leavesAt, now + submit.timeout()) : q.leavesAt;
+        long timeoutAt = submit.timeout() > 0 ? Math.min(q.deadline, now + submit.timeout()) : q.deadline;
         Submission s = new Submission(q, now, timeoutAt, submit.departBy());
-        q.out = s;
+        q.submission = s;
         Verdict verdict = q.lifecycle.startAttempt();
         if (!verdict.allowed()) {
-            // Where it is over, its client left after the event that is being decided; without an end its
-            // threads would count as out for good.
-            refused(verdict, q);
+            // The query may have ended since the event under decision, when its client left. Without this end
+            // the decisions would count the submission's threads as in use forever.
+            recordRefusal(verdict, q);
             closed(s, Outcome.NOT_SENT);
             return;
         }
         q.history.add(Step.ATTEMPT_DECIDED, null, now);
-        s.end = timers.at(timeoutAt, () -> timedOut(s));
+        s.end = timers.at(timeoutAt, () -> endTimedOut(s));
         engines.send(submit.engine(), s);
     }
 
-    /** What never left the front can't have run. */
-    private void timedOut(Submission s) {
+    /** Ends a submission at its timeout; one that was never written cannot have run. */
+    private void endTimedOut(Submission s) {
         closed(s, s.written ? Outcome.TIMED_OUT : Outcome.NOT_SENT);
     }
 
-    /** Its connection is up. It leaves when this turn of the loop has read what there is. */
+    /** Queues a submission whose connection is up; it is sent after this loop iteration's reads. */
     void departs(Submission s) {
-        departures.add(s);
-        if (departures.size() == 1) {
-            loop.execute(this::depart);
+        sendQueue.add(s);
+        if (sendQueue.size() == 1) {
+            loop.execute(this::sendQueued);
         }
     }
 
     /**
-     * The one way out. A stop between the decision and here may have been long, so that the news are looked
-     * at once more, right before the bytes go; what may no longer be sent never ran.
+     * Sends the queued submissions; there is no other path to an engine. The loop may have stalled since the
+     * decision, so the journal, the client and the connection are checked again right before the write. A
+     * submission that may no longer be sent is reported as never run.
      */
-    private void depart() {
-        for (Submission s = departures.poll(); s != null; s = departures.poll()) {
+    private void sendQueued() {
+        for (Submission s = sendQueue.poll(); s != null; s = sendQueue.poll()) {
             try {
-                depart(s);
+                sendQueued(s);
             } catch (RuntimeException | Error e) {
-                // It ends at its time. The others must not wait for it.
+                // Its own timeout ends it; the other submissions must still be sent.
                 log.fault("a submission failed", e);
             }
         }
     }
 
-    private void depart(Submission s) {
-        refresh();
-        // A client that has gone, or has taken its query back, may have done so while the loop stood still:
-        // its close lies in the socket behind the query, where the selector has yet to look.
+    private void sendQueued(Submission s) {
+        readJournal();
+        // The client may have closed or revoked during a stall of the loop: its close is then behind the
+        // query in the socket, unread, as the selector has not reported it yet.
         boolean clientThere = s.query.client == null || s.over || s.query.client.there();
         if (s.over || s.connection == null) {
             return;
         }
         if (!s.connection.there()) {
-            // Closed by its engine while it rested. Nothing of this was written, so it takes another.
+            // The engine closed the idle connection. Nothing was written, so use another connection.
             Id.Engine engine = new Id.Engine(s.connection.engine());
             s.connection.release(s);
             engines.send(engine, s);
             return;
         }
-        // The looks above may have taken time, too.
+        // Read the clock again: the checks above may have taken time.
         Verdict verdict = s.query.lifecycle.send(new SendFacts(clock.now(), s.timeoutAt, s.departBy,
                 clientThere, s.connection.departable()));
         if (!verdict.allowed()) {
@@ -556,38 +575,38 @@
     }
 
     private void withhold(Submission s, Verdict verdict) {
-        refused(verdict, s.query);
+        recordRefusal(verdict, s.query);
         s.query.history.add(Step.WITHHELD, verdict, clock.now());
         switch (verdict) {
             case REPEAT_FORGOTTEN -> log.line("submission withheld, its repeat would no longer be recognised",
                     s.query.trace);
             case ENGINE_NOT_READY -> log.line("submission withheld, engine no longer up",
                     s.connection.engine());
-            case DEADLINE_PASSED -> log.line("submission withheld, its client waits no longer",
+            case DEADLINE_PASSED -> log.line("submission withheld, its deadline has passed",
                     s.query.trace);
             default -> {
-                // Its client has gone, as many do.
+                // Routine cases, such as a client that has left, are only counted.
             }
         }
         closed(s, verdict == Verdict.ENGINE_NOT_READY || verdict == Verdict.REPEAT_FORGOTTEN
                 ? Outcome.WITHHELD : Outcome.NOT_SENT);
     }
 
-    /** A submission has ended, in whatever way; what comes of it later is not heard any more. */
-    void closed(Submission s, Outcome seen) {
+    /** Ends a submission with its outcome; later replies of the engine for it are ignored. */
+    void closed(Submission s, Outcome observed) {
         if (s.over) {
             return;
         }
         s.over = true;
         OpenQuery q = s.query;
-        q.out = null;
+        q.submission = null;
         timers.cancel(s.end);
         if (s.connection != null) {
             s.connection.drop(s);
         }
-        Outcome outcome = seen;
+        Outcome outcome = observed;
         if (kept != null) {
-            kept.over(s);
+            kept.submissionEnded(s);
         }
         q.lifecycle.attemptEnded(outcome.neverRan());
         q.history.add(Step.ATTEMPT_ENDED, outcome, clock.now());
@@ -595,46 +614,46 @@
         if (outcome == Outcome.FINISHED && !q.answered()) {
             serve(q, s);
         }
-        boolean over = q.answered();
+        boolean queryOver = q.answered();
         hold(-s.bytes);
         s.release();
         if (s.endedAt == 0) {
             seenEnd(s);
         }
-        long took = s.endedAt - s.sentAt;
-        events.add(new Event.Closed(q.id, s.number, outcome, over, took, Math.min(took, s.unseen),
-                s.work));
-        forget(q);
-        settle();
+        long duration = s.endedAt - s.sentAt;
+        events.add(new Event.Closed(q.id, s.number, outcome, queryOver, duration,
+                Math.min(duration, s.unseen), s.work));
+        releaseIfDone(q);
+        processEvents();
     }
 
-    /** Notes when it ended, and by how much earlier that may have been while the front stood still. */
+    /** Records the end time, and how much earlier the end may have been if the loop was stalled. */
     void seenEnd(Submission s) {
         s.endedAt = clock.now();
         s.unseen = s.endedAt - timers.earliestArrival();
     }
 
+    /** Reports the share of a submission's work that its engine says is done. */
     void progress(Submission s, double share) {
-        on(new Event.ShareDone(s.query.id, s.number, share, clock.now() - timers.earliestArrival()));
+        enqueueEvent(new Event.ShareDone(s.query.id, s.number, share,
+                clock.now() - timers.earliestArrival()));
     }
 
-    /**
-     * A load report of an engine, as in {@code inflight:7;util:0.61}; what can't be read of it is left out.
-     */
+    /** Parses an engine's load report, such as {@code inflight:7;util:0.61}; invalid fields are ignored. */
     void reported(String engine, String report) {
         Load load = Load.UNKNOWN;
         for (String part : report.split(";", limits.reportFields + 1)) {
             int colon = part.indexOf(':');
             String value = part.substring(colon + 1);
-            if (colon > 0 && FIGURE.matcher(value).matches()) {
+            if (colon > 0 && DECIMAL_NUMBER.matcher(value).matches()) {
                 try {
                     load = load.with(part.substring(0, colon), Double.parseDouble(value));
                 } catch (NumberFormatException e) {
-                    // what the pattern lets through and is no number all the same
+                    // the pattern also matches some text that is not a number
                 }
             }
         }
-        on(new Event.LoadReported(new Id.Engine(engine), load));
+        enqueueEvent(new Event.LoadReported(new Id.Engine(engine), load));
     }
 
     // ---- time
@@ -643,26 +662,26 @@
         timers.in(limits.tick * 10L, this::tick);
         long now = clock.now();
         engines.tick(now);
-        if (listener != null) {
-            listener.tick();
+        if (acceptGuard != null) {
+            acceptGuard.tick();
         }
         if (kept != null) {
             kept.tick();
         }
         roster.open().forEach(client -> client.tick(now));
-        if (now >= sumAt) {
-            sumAt = now + limits.logEvery * 10L;
+        if (now >= nextLogSummaryAt) {
+            nextLogSummaryAt = now + limits.logEvery * 10L;
             tellSums();
         }
     }
 
-    /** The last lines of a front that has left. */
+    /** Logs the suppressed line counts and the counters; also called at the end of a shutdown. */
     void tellSums() {
         log.sum();
-        tellCounts();
+        logCounts();
     }
 
-    private void tellCounts() {
+    private void logCounts() {
         String counts = counters.changes();
         if (counts != null) {
             log.once("counts since the start:", counts);
@@ -670,60 +689,62 @@
     }
 
     /**
-     * The platform takes the front down: it serves on while requests can still come, answers what it has
-     * taken, and tells when nothing is left.
+     * Begins a graceful shutdown: requests are served while clients can still send them, and every open query
+     * is answered.
+     *
+     * @param onAllAnswered called when nothing is left to answer
      */
-    void leave(Runnable left) {
+    void leave(Runnable onAllAnswered) {
         if (leaving) {
             return;
         }
         leaving = true;
         long now = clock.now();
-        stayUntil = now + limits.leavingLongest * 10L;
-        log.once("leaving,", queries.size() + " queries open");
-        // The decisions answer what waits, and what is out ends in time for them to answer that, too: whether
-        // a retry is safe is theirs to say.
-        on(new Event.Leaving(stayUntil));
-        for (OpenQuery q : List.copyOf(queries.values())) {
-            q.leavesAt = Math.min(q.leavesAt, stayUntil);
-            timers.cancel(q.end);
-            q.end = timers.at(q.leavesAt + limits.lastResort * 10L, () -> overdue(q));
-            if (q.out != null) {
-                Submission s = q.out;
+        leavingDeadline = now + limits.leavingLongest * 10L;
+        log.once("leaving,", queriesById.size() + " queries open");
+        // The decisions answer waiting queries. Submissions time out by the shutdown deadline, so that the
+        // decisions can answer those queries too: only they know whether a retry is safe.
+        enqueueEvent(new Event.Leaving(leavingDeadline));
+        for (OpenQuery q : List.copyOf(queriesById.values())) {
+            q.deadline = Math.min(q.deadline, leavingDeadline);
+            timers.cancel(q.expiryTimer);
+            q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
+            if (q.submission != null) {
+                Submission s = q.submission;
                 timers.cancel(s.end);
-                s.timeoutAt = Math.min(s.timeoutAt, stayUntil);
-                s.end = timers.at(s.timeoutAt, () -> timedOut(s));
+                s.timeoutAt = Math.min(s.timeoutAt, leavingDeadline);
+                s.end = timers.at(s.timeoutAt, () -> endTimedOut(s));
             }
         }
-        new Shutdown(this, limits, roster, now).begin(left);
+        new Shutdown(this, limits, roster, now).begin(onAllAnswered);
     }
 
     boolean allAnswered() {
-        return queries.values().stream().allMatch(OpenQuery::answered);
+        return queriesById.values().stream().allMatch(OpenQuery::answered);
     }
 
     void listensBehind(AcceptGuard guard) {
-        listener = guard;
+        acceptGuard = guard;
     }
 
-    /** The selector did not tell of what lay in a socket, or could go out there. */
+    /** Registers a socket anew after the selector missed its readiness to read or write. */
     void registersAnew(Channel socket) {
         log.line("socket not known to the selector, registered anew", String.valueOf(socket.remoteAddress()));
         counters.add(SocketFault.NOT_REGISTERED);
         Registration.renew(socket, turns);
     }
 
-    /** Whether connections may wait that could not be accepted yet. */
+    /** Returns whether connections may be waiting in the accept queue while accepting is paused. */
     boolean mayHoldUnaccepted() {
-        return listener != null && listener.rests();
+        return acceptGuard != null && acceptGuard.rests();
     }
 
-    /** What has to be closed with the last connections: the listener. */
-    void atTheEnd(Runnable what) {
-        ending = what;
+    /** Sets the action that closes the listener, run with the end of the last connections. */
+    void atTheEnd(Runnable closer) {
+        listenerCloser = closer;
     }
 
     void closeListener() {
-        ending.run();
+        listenerCloser.run();
     }
 }
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -24,135 +24,137 @@
 import reedspring.spool.store.Store;
 
 /**
- * Answers that are kept on disk: carries what engines and clients say to the spool, and what it asks for to
- * them and to the threads behind the loop. Like all round the loop it runs there alone.
+ * Connects the spool, which keeps answers on disk, to the front. Delivers what engines and clients send to
+ * the spool, and performs the steps that it asks for, on the loop or by its disk threads. Confined to the
+ * event loop, except {@link #close}.
  */
 final class KeptAnswers implements Keeper.Listener {
-    private static final String UNKNOWN = "no such handle";
+    private static final String UNKNOWN_HANDLE = "no such handle";
 
     private final Front front;
     private final Terms terms;
     private final Spool spool;
     private final Keeper keeper;
     private final Handles handles;
-    private final Map<Id.Query, Submission> begun = new HashMap<>();
-    private final Map<AnswerId, Submission> filling = new HashMap<>();
-    private final Map<Long, Reader> readers = new HashMap<>();
-    /** A word that is told while another is being dealt with waits for its turn. */
-    private final ArrayDeque<Told> words = new ArrayDeque<>();
-    private boolean telling;
-    private ByteBuffer coming;
-    private long calls;
+    private final Map<Id.Query, Submission> submissionsByQuery = new HashMap<>();
+    private final Map<AnswerId, Submission> submissionsByAnswer = new HashMap<>();
+    private final Map<Long, PageRead> pageReads = new HashMap<>();
+    /** Words for the spool; one that arrives while another is being processed is queued. */
+    private final ArrayDeque<QueuedWord> queuedWords = new ArrayDeque<>();
+    private boolean delivering;
+    private ByteBuffer currentPageText;
+    private long lastReadId;
 
-    /** A word, with the page's text where it is about one. */
-    private record Told(Word word, ByteBuffer text) {
+    /** A word for the spool, with the text of the page if it brings one, else null. */
+    private record QueuedWord(Word word, ByteBuffer text) {
     }
 
-    /** A call for a page. */
-    private record Reader(ClientConnection client, long messageId, Handle handle, int page) {
+    /** A client's request for a page, until it is answered. */
+    private record PageRead(ClientConnection client, long messageId, Handle handle, int page) {
     }
 
-    /** Takes the folder; what lies there is found behind the loop, and nothing is kept before that. */
+    /** Opens the spool folder. The disk threads scan it in the background; no answer is kept until then. */
     KeptAnswers(Front front, EventLoop loop, String name, SpoolOrders orders) throws IOException {
         this.front = front;
         this.terms = orders.terms();
         this.handles = new Handles(name, orders.keys());
-        SecureRandom secret = new SecureRandom();
-        this.spool = new Spool(terms, secret::nextLong);
+        SecureRandom random = new SecureRandom();
+        this.spool = new Spool(terms, random::nextLong);
         this.keeper = new Keeper(new Store(new FileDisk(orders.folder(), true), name, terms.pageBytes()),
                 loop,
                 this, orders.group());
         keeper.start();
     }
 
-    /** Ends the threads once what is queued is written; not on the loop. */
-    boolean close(long ms) throws InterruptedException {
-        return keeper.close(ms);
+    /** Stops the disk threads once queued writes are done; must not be called on the loop. */
+    boolean close(long timeoutMs) throws InterruptedException {
+        return keeper.close(timeoutMs);
     }
 
     void tick() {
-        tell(new Word.Tick());
+        deliver(new Word.Tick());
     }
 
-    private void tell(Word word) {
-        tell(word, null);
+    private void deliver(Word word) {
+        deliver(word, null);
     }
 
-    private void tell(Word word, ByteBuffer text) {
-        words.add(new Told(word, text));
-        if (telling) {
+    private void deliver(Word word, ByteBuffer text) {
+        queuedWords.add(new QueuedWord(word, text));
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
-            for (Told next = words.poll(); next != null; next = words.poll()) {
-                coming = next.text();
-                spool.on(front.clock().now(), next.word(), this::step);
+            for (QueuedWord next = queuedWords.poll(); next != null; next = queuedWords.poll()) {
+                currentPageText = next.text();
+                spool.on(front.clock().now(), next.word(), this::performStep);
             }
         } finally {
-            coming = null;
-            telling = false;
+            currentPageText = null;
+            delivering = false;
         }
     }
 
     // ---- engines
 
-    /** The engine has announced its pages and handed over the first. */
+    /** Offers an answer to the spool once its engine has sent the page count and the first page. */
     void begin(Submission s) {
         OpenQuery q = s.query;
-        begun.put(q.id, s);
-        tell(new Word.Began(q.id, q.tenant, q.repeatable, s.sheets));
+        submissionsByQuery.put(q.id, s);
+        deliver(new Word.Began(q.id, q.tenant, q.repeatable, s.sheets));
     }
 
+    /** Passes a page of an answer to the spool, if it keeps that answer. */
     void came(Submission s, int page, ByteBuf text) {
         if (s.kept == null) {
             return;
         }
-        // Its buffer is the loop's and may be used again; the copy is the writer's.
+        // The loop may reuse the buffer, so the writer thread gets a copy.
         ByteBuffer copy = ByteBuffer.allocate(text.readableBytes());
         text.getBytes(text.readerIndex(), copy);
         copy.flip();
-        tell(new Word.PageCame(s.kept, page, copy.remaining()), copy);
+        deliver(new Word.PageCame(s.kept, page, copy.remaining()), copy);
     }
 
-    /** The submission has ended, kept or not. */
-    void over(Submission s) {
-        begun.remove(s.query.id, s);
-        if (s.kept != null && filling.remove(s.kept) != null) {
-            tell(new Word.QueryOver(s.kept));
+    /** Ends a submission, whether or not its answer is kept. */
+    void submissionEnded(Submission s) {
+        submissionsByQuery.remove(s.query.id, s);
+        if (s.kept != null && submissionsByAnswer.remove(s.kept) != null) {
+            deliver(new Word.QueryOver(s.kept));
         }
     }
 
     // ---- clients
 
-    void ask(ClientConnection client, long messageId, Map<String, String> fields) {
-        Handle handle = handle(fields);
+    void requestPage(ClientConnection client, long messageId, Map<String, String> fields) {
+        Handle handle = readHandle(fields);
         int page = -1;
         try {
             page = Integer.parseInt(fields.getOrDefault("sheet", ""));
         } catch (NumberFormatException e) {
-            // no page has that number
+            // -1 is not the number of any page
         }
         if (handle == null) {
-            client.readError(messageId, UNKNOWN);
+            client.failPageRead(messageId, UNKNOWN_HANDLE);
             return;
         }
-        long call = ++calls;
-        readers.put(call, new Reader(client, messageId, handle, page));
-        tell(new Word.Asked(call, handle, page));
+        long readId = ++lastReadId;
+        pageReads.put(readId, new PageRead(client, messageId, handle, page));
+        deliver(new Word.Asked(readId, handle, page));
     }
 
     void release(ClientConnection client, long messageId, Map<String, String> fields) {
-        Handle handle = handle(fields);
+        Handle handle = readHandle(fields);
         if (handle == null) {
-            client.error(messageId, UNKNOWN);
+            client.sendError(messageId, UNKNOWN_HANDLE);
             return;
         }
-        tell(new Word.Released(handle));
-        client.released(messageId);
+        deliver(new Word.Released(handle));
+        client.confirmRelease(messageId);
     }
 
-    private Handle handle(Map<String, String> fields) {
+    private Handle readHandle(Map<String, String> fields) {
         String text = fields.get("handle");
         String tenant = fields.get("customer");
         return text == null || tenant == null ? null : handles.read(text, tenant);
@@ -160,44 +162,47 @@
 
     // ---- what the spool asks for
 
-    private void step(Step step) {
+    /** Performs a step that the spool asks for. */
+    private void performStep(Step step) {
         if (step instanceof Step.Take take) {
-            Submission s = begun.get(take.query());
+            Submission s = submissionsByQuery.get(take.query());
             s.kept = take.answer();
-            filling.put(take.answer(), s);
+            submissionsByAnswer.put(take.answer(), s);
             came(s, 0, s.pages[0]);
         } else if (step instanceof Step.Refuse refuse) {
             front.log().line("answer not kept", refuse.why());
-            notKept(begun.get(refuse.query()));
+            endNotKept(submissionsByQuery.get(refuse.query()));
         } else if (step instanceof Step.Lost lost) {
             front.log().line("answer not kept", lost.why());
-            Submission s = filling.remove(lost.answer());
-            notKept(s);
+            Submission s = submissionsByAnswer.remove(lost.answer());
+            endNotKept(s);
         } else if (step instanceof Step.AskPage ask) {
-            Submission s = filling.get(ask.answer());
+            Submission s = submissionsByAnswer.get(ask.answer());
             if (s != null) {
                 s.connection.more(s, ask.page());
             }
         } else if (step instanceof Step.Kept kept) {
-            kept(kept);
+            endKept(kept);
         } else if (step instanceof Step.Say say) {
-            say(say);
+            answerFailedRead(say);
         } else if (step instanceof Step.Remark remark) {
             front.log().remark("spool", remark.text());
         } else {
-            keeper.accept(step, step instanceof Step.Write ? coming : null);
+            keeper.accept(step, step instanceof Step.Write ? currentPageText : null);
         }
     }
 
-    private void notKept(Submission s) {
+    /** Ends a submission whose answer could not be kept. */
+    private void endNotKept(Submission s) {
         if (s != null) {
             s.kept = null;
             front.closed(s, Outcome.NOT_KEPT);
         }
     }
 
-    private void kept(Step.Kept kept) {
-        Submission s = filling.remove(kept.answer());
+    /** Ends a submission whose answer is complete on disk, and creates its handle. */
+    private void endKept(Step.Kept kept) {
+        Submission s = submissionsByAnswer.remove(kept.answer());
         if (s != null) {
             OpenQuery q = s.query;
             s.handle = handles.write(new Handle(kept.answer(), q.tenant, q.repeatable, kept.expiresAt()));
@@ -206,9 +211,10 @@
         }
     }
 
-    private void say(Step.Say say) {
-        Reader reader = readers.remove(say.reader());
-        String why = switch (say.reason()) {
+    /** Answers a client's request for a page that can't be read. */
+    private void answerFailedRead(Step.Say say) {
+        PageRead pageRead = pageReads.remove(say.reader());
+        String reasonText = switch (say.reason()) {
             case EXPIRED -> "the answer has expired";
             case GONE -> "the answer is not kept any more";
             case DAMAGED -> "the answer can't be read any more";
@@ -216,28 +222,28 @@
             case BUSY -> "too many pages are being read";
         };
         if (say.reason() == Step.Reason.BUSY) {
-            reader.client().readLater(reader.messageId(), say.comeBack() / 10, why);
-        } else if (say.reason() != Step.Reason.NO_SUCH_PAGE && reader.handle().repeatable()) {
-            reader.client().askAnew(reader.messageId(), why);
+            pageRead.client().deferPageRead(pageRead.messageId(), say.comeBack() / 10, reasonText);
+        } else if (say.reason() != Step.Reason.NO_SUCH_PAGE && pageRead.handle().repeatable()) {
+            pageRead.client().shedPageRead(pageRead.messageId(), reasonText);
         } else {
-            reader.client().readError(reader.messageId(), why);
+            pageRead.client().failPageRead(pageRead.messageId(), reasonText);
         }
     }
 
     @Override
     public void word(Word word) {
         try {
-            tell(word);
+            deliver(word);
         } catch (RuntimeException | Error e) {
             front.log().fault("spool failed", e);
         }
     }
 
     @Override
-    public void page(long call, ByteBuffer text) {
-        Reader reader = readers.remove(call);
-        if (reader != null) {
-            reader.client().page(reader.messageId(), reader.page(), Unpooled.wrappedBuffer(text));
+    public void page(long readId, ByteBuffer text) {
+        PageRead pageRead = pageReads.remove(readId);
+        if (pageRead != null) {
+            pageRead.client().sendPage(pageRead.messageId(), pageRead.page(), Unpooled.wrappedBuffer(text));
         }
     }
 }
--- a/src/main/java/reedspring/net/OpenQuery.java
+++ b/src/main/java/reedspring/net/OpenQuery.java
@@ -5,7 +5,7 @@
 import reedspring.api.Id;
 import reedspring.core.policy.QueryLifecycle;
 
-/** A query from its arrival until it is answered and nothing of it is out. */
+/** A query, held from its arrival until it is answered and no submission of it is running. */
 final class OpenQuery {
     final Id.Query id;
     final long messageId;
@@ -14,30 +14,33 @@
     final long traceId;
     final String group;
     final ByteBuf statement;
-    long leavesAt;
+    /** When its client stops waiting. */
+    long deadline;
+    /** The event that starts its decisions. */
     Event.Taken taken;
-    /** By which engines recognise a repeat, or null. Each submission bears it as the client sent it. */
+    /** The client's token by which engines recognise a repeat, or null; each submission carries it. */
     final String mark;
-    /** Whether its client takes pages, and what the spool has to know of it then. */
+    /** Whether its client takes the answer in pages; the two fields below are set for the spool only then. */
     boolean paged;
     boolean repeatable;
     String tenant;
     int priority = -1;
     int submissions;
-    Submission out;
-    /** What may be done with it now. */
+    /** The running submission, or null. */
+    Submission submission;
+    /** Checks which steps the query's state allows. */
     final QueryLifecycle lifecycle;
     final QueryHistory history = new QueryHistory();
-    Timers.Due end;
-    /** For the log, where it is late: 0 where it did not come to that. */
-    long takenAt;
+    Timers.Due expiryTimer;
+    /** Times for the log line of a late answer; 0 if the step was not reached. */
+    long arrivedAt;
     long firstSentAt;
     long heardAt;
-    long decidedAt;
-    /** How long what was decided on may have lain unread by then. */
-    long behind;
+    long answerDecidedAt;
+    /** How long input may have waited unread when the answer was decided. */
+    long loopDelay;
 
-    /** Retains the call's body, until it is forgotten. */
+    /** Retains the request's body, until {@link Front} releases the query. */
     OpenQuery(Id.Query id, RpcDecoder.Call call, ClientConnection client, QueryRequest request, long leavesAt,
               QueryLifecycle lifecycle) {
         this.id = id;
@@ -47,12 +50,12 @@
         this.traceId = request.traceId();
         this.group = call.method();
         this.statement = call.body().retain();
-        this.mark = request.mark();
-        this.leavesAt = leavesAt;
+        this.mark = request.repeatToken();
+        this.deadline = leavesAt;
         this.lifecycle = lifecycle;
     }
 
-    /** Whether it has its final answer, or its client has gone. */
+    /** Returns whether the final answer is given or the client has left. */
     boolean answered() {
         return lifecycle.over();
     }
--- a/src/main/java/reedspring/net/RequestRefusal.java
+++ b/src/main/java/reedspring/net/RequestRefusal.java
@@ -1,13 +1,13 @@
 package reedspring.net;
 
-/** Why a request was not taken; counted, and told with the counts in the log. */
+/** Why a request was refused; the counts per reason are logged. */
 enum RequestRefusal {
-    /** A field is missing, or says nothing that can be used. */
+    /** A field is missing or invalid. */
     UNUSABLE,
-    /** A query with its trace is open. */
+    /** A query with the same trace is open. */
     TRACE_OPEN,
-    /** A query with its trace was taken before and is over. */
+    /** The trace was used by an earlier query. */
     TRACE_REPEATED,
-    /** The front holds as much as it may. */
+    /** A limit on queries or memory is reached. */
     NO_ROOM
 }
--- a/src/main/java/reedspring/net/RpcDecoder.java
+++ b/src/main/java/reedspring/net/RpcDecoder.java
@@ -11,135 +11,144 @@
 import java.util.Map;
 
 /**
- * MessagePack-RPC from clients, parsed where it lies: Netty has no codec for it, and the libraries copy a
- * message before they read it. First the whole message is measured, within the limits on bytes and values;
- * what is read afterwards can't run over its end.
+ * Decodes MessagePack-RPC from clients in place: Netty has no codec for it, and the MessagePack libraries
+ * copy a message before they read it. The whole message is measured first, within the limits on bytes and
+ * values, so that the reads that follow can't run past its end.
  */
 final class RpcDecoder extends ByteToMessageDecoder {
-    private static final int REQUEST = 0;
-    private static final int NOTICE = 2;
-    private static final int REQUEST_PARTS = 4;
+    private static final int REQUEST_TYPE = 0;
+    private static final int NOTIFICATION_TYPE = 2;
+    private static final int REQUEST_ELEMENTS = 4;
 
     private final Limits limits;
-    private final Pieces pieces;
-    private int budget;
-    private int unfinished;
-    private long lacking;
-    private long discards;
-    private long refused;
-    private long messages;
-    private boolean deaf;
+    private final PartialMessageBudget partialMessageBudget;
+    private int remainingValues;
+    private int partialBytes;
+    private long missingBytes;
+    private long bytesToDiscard;
+    private long refusedId;
+    private long messageCount;
+    private boolean discardAll;
 
-    /** Who counts the bytes of all unfinished messages, and says whether there is room for more. */
-    interface Pieces {
-        boolean hold(int more);
+    /** Accounts for the bytes of partial messages on all connections. */
+    interface PartialMessageBudget {
+        /** Adds {@code bytes}, negative to release them; returns whether the total is within its limit. */
+        boolean reserve(int bytes);
     }
 
-    RpcDecoder(Limits limits, Pieces pieces) {
+    RpcDecoder(Limits limits, PartialMessageBudget pieces) {
         this.limits = limits;
-        this.pieces = pieces;
+        this.partialMessageBudget = pieces;
     }
 
-    /** A request that was passed over as it came, since there was no room for it. */
+    /** A request whose input was discarded because no memory was left for it. */
     record Refused(long id) {
     }
 
-    /** A request; {@code fault} tells why it can't be used, null if it can. The body is the receiver's. */
+    /**
+     * A request.
+     *
+     * @param body the statement, which the receiver must release; may be null
+     * @param fault why the request is invalid, or null
+     */
     record Call(long id, String method, Map<String, String> fields, ByteBuf body, String fault) {
     }
 
-    record Notice(String method, long id) {
+    /** A notification; {@code id} is its first parameter, or -1. */
+    record Notification(String method, long id) {
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (deaf) {
+        if (discardAll) {
             in.skipBytes(in.readableBytes());
             return;
         }
-        if (discards > 0) {
-            int passed = (int) Math.min(discards, in.readableBytes());
-            in.skipBytes(passed);
-            discards -= passed;
-            if (discards == 0) {
-                messages++;
-                out.add(new Refused(refused));
+        if (bytesToDiscard > 0) {
+            int skipped = (int) Math.min(bytesToDiscard, in.readableBytes());
+            in.skipBytes(skipped);
+            bytesToDiscard -= skipped;
+            if (bytesToDiscard == 0) {
+                messageCount++;
+                out.add(new Refused(refusedId));
             }
             return;
         }
         int start = in.readerIndex();
-        lacking = 0;
-        budget = limits.messageValues;
-        boolean whole = pass(in, 1);
+        missingBytes = 0;
+        remainingValues = limits.messageValues;
+        boolean complete = skipValues(in, 1);
         int length = in.readerIndex() - start;
         in.readerIndex(start);
         if (length > limits.messageBytes) {
-            throw new TooLongFrameException("a message over " + limits.messageBytes + " bytes");
+            throw new TooLongFrameException("message exceeds " + limits.messageBytes + " bytes");
         }
-        if (!whole) {
-            if (!unfinished(in.readableBytes()) && in.readableBytes() > limits.smallMessage) {
-                refuse(in);
+        if (!complete) {
+            if (!updatePartialBytes(in.readableBytes()) && in.readableBytes() > limits.smallMessage) {
+                refuseRequest(in);
             }
             return;
         }
-        unfinished(0);
-        messages++;
-        Object message = message(in.readSlice(length));
+        updatePartialBytes(0);
+        messageCount++;
+        Object message = readMessage(in.readSlice(length));
         if (message != null) {
             out.add(message);
         }
     }
 
-    private boolean unfinished(int bytes) {
-        int more = bytes - unfinished;
-        unfinished = bytes;
-        return pieces.hold(more) || more <= 0;
+    /** Sets the size of the partial message; returns false if it grew and the budget is exceeded. */
+    private boolean updatePartialBytes(int bytes) {
+        int addedBytes = bytes - partialBytes;
+        partialBytes = bytes;
+        return partialMessageBudget.reserve(addedBytes) || addedBytes <= 0;
     }
 
-    /** Its sender may hold it for taken already: the rest is passed over, and it gets its answer. */
-    private void refuse(ByteBuf in) {
+    /** Refuses a partial request and discards the rest: its client may count on an answer already. */
+    private void refuseRequest(ByteBuf in) {
         int start = in.readerIndex();
-        refused = arrayHeader(in) == REQUEST_PARTS && whole(in) == REQUEST ? whole(in) : -1;
-        if (refused < 0 || lacking == 0) {
+        refusedId = readArrayHeader(in) == REQUEST_ELEMENTS && readNonNegativeInteger(in) == REQUEST_TYPE
+                ? readNonNegativeInteger(in) : -1;
+        if (refusedId < 0 || missingBytes == 0) {
             in.readerIndex(start);
-            throw new TooLongFrameException("no room for a message of this form");
+            throw new TooLongFrameException("no memory left for a partial message of this form");
         }
         in.readerIndex(in.writerIndex());
-        discards = lacking;
-        unfinished(0);
+        bytesToDiscard = missingBytes;
+        updatePartialBytes(0);
     }
 
-    /** The connection ends: what is still read of it is thrown away and holds no room. */
-    void hearNoMore() {
-        deaf = true;
-        unfinished(0);
-        discards = 0;
+    /** Discards all further input and releases its budget; called when the connection is closing. */
+    void discardInput() {
+        discardAll = true;
+        updatePartialBytes(0);
+        bytesToDiscard = 0;
     }
 
-    /** How many messages have come whole. */
-    long messages() {
-        return messages;
+    /** Returns how many complete messages have been received. */
+    long messageCount() {
+        return messageCount;
     }
 
-    /** Whether a message has come in part. */
-    boolean midway() {
-        return unfinished > 0 || discards > 0;
+    /** Returns whether part of a message has been received. */
+    boolean hasPartialMessage() {
+        return partialBytes > 0 || bytesToDiscard > 0;
     }
 
     @Override
     protected void handlerRemoved0(ChannelHandlerContext ctx) {
-        pieces.hold(-unfinished);
-        unfinished = 0;
+        partialMessageBudget.reserve(-partialBytes);
+        partialBytes = 0;
     }
 
     /**
-     * Passes {@code count} values; false if they have not come whole. A message in pieces is measured anew
-     * with each, which the limit on values keeps cheap.
+     * Skips {@code count} values; returns false if they are incomplete. A message that arrives in pieces is
+     * measured again with each piece, which the limit on values keeps cheap.
      */
-    private boolean pass(ByteBuf in, long count) {
-        for (long left = count; left > 0; left--) {
-            if (budget-- == 0) {
-                throw new TooLongFrameException("a message of over " + limits.messageValues + " values");
+    private boolean skipValues(ByteBuf in, long count) {
+        for (long remaining = count; remaining > 0; remaining--) {
+            if (remainingValues-- == 0) {
+                throw new TooLongFrameException("message exceeds " + limits.messageValues + " values");
             }
             if (!in.isReadable()) {
                 return false;
@@ -149,29 +158,29 @@
                 continue;
             }
             if (type <= 0x8f) {
-                left += 2 * (type & 0xf);
+                remaining += 2 * (type & 0xf);
             } else if (type <= 0x9f) {
-                left += type & 0xf;
+                remaining += type & 0xf;
             } else if (type <= 0xbf) {
-                if (!skip(in, type & 0x1f, left)) {
+                if (!skipBytes(in, type & 0x1f, remaining)) {
                     return false;
                 }
             } else if (type == 0xc1) {
-                throw new CorruptedFrameException("0xc1 is no MessagePack");
+                throw new CorruptedFrameException("0xc1 is not a MessagePack type");
             } else {
-                int size = lengthBytes(type);
+                int size = lengthFieldBytes(type);
                 if (in.readableBytes() < size) {
                     return false;
                 }
-                long length = size == 0 ? 0 : unsigned(in, size);
+                long length = size == 0 ? 0 : readUnsigned(in, size);
                 if (type >= 0xdc) {
-                    left += (type >= 0xde ? 2 : 1) * length;
-                    if (left > limits.messageValues) {
-                        throw new TooLongFrameException("a message of over " + limits.messageValues
+                    remaining += (type >= 0xde ? 2 : 1) * length;
+                    if (remaining > limits.messageValues) {
+                        throw new TooLongFrameException("message exceeds " + limits.messageValues
                                 + " values");
                     }
-                } else if (!skip(in, size == 0 || type >= 0xca && type <= 0xd3 ? fixed(type)
-                        : type >= 0xc7 && type <= 0xc9 ? length + 1 : length, left)) {
+                } else if (!skipBytes(in, size == 0 || type >= 0xca && type <= 0xd3 ? fixedPayloadBytes(type)
+                        : type >= 0xc7 && type <= 0xc9 ? length + 1 : length, remaining)) {
                     return false;
                 }
             }
@@ -179,20 +188,21 @@
         return true;
     }
 
-    private boolean skip(ByteBuf in, long length, long left) {
+    /** Skips {@code length} bytes; if they are incomplete and end the message, notes how many are missing. */
+    private boolean skipBytes(ByteBuf in, long length, long remainingValues) {
         if (length > limits.messageBytes) {
-            throw new TooLongFrameException("a message over " + limits.messageBytes + " bytes");
+            throw new TooLongFrameException("message exceeds " + limits.messageBytes + " bytes");
         }
         if (in.readableBytes() < length) {
-            lacking = left == 1 ? length - in.readableBytes() : 0;
+            missingBytes = remainingValues == 1 ? length - in.readableBytes() : 0;
             return false;
         }
         in.skipBytes((int) length);
         return true;
     }
 
-    /** How many bytes of length stand behind the type; 0 where the type alone tells it. */
-    private static int lengthBytes(int type) {
+    /** Returns the size of the length field after a type byte; 0 if the type implies the length. */
+    private static int lengthFieldBytes(int type) {
         return switch (type) {
             case 0xc4, 0xc7, 0xd9 -> 1;
             case 0xc5, 0xc8, 0xda, 0xdc, 0xde -> 2;
@@ -201,7 +211,8 @@
         };
     }
 
-    private static int fixed(int type) {
+    /** Returns the payload size of a type of fixed size. */
+    private static int fixedPayloadBytes(int type) {
         return switch (type) {
             case 0xcc, 0xd0 -> 1;
             case 0xcd, 0xd1, 0xd4 -> 2;
@@ -214,7 +225,7 @@
         };
     }
 
-    private static long unsigned(ByteBuf in, int size) {
+    private static long readUnsigned(ByteBuf in, int size) {
         return switch (size) {
             case 1 -> in.readUnsignedByte();
             case 2 -> in.readUnsignedShort();
@@ -223,50 +234,50 @@
         };
     }
 
-    private Object message(ByteBuf in) {
-        int size = arrayHeader(in);
-        long type = size >= 1 ? whole(in) : -1;
-        if (type == NOTICE && size == 3) {
-            String method = text(in);
-            long id = arrayHeader(in) >= 1 ? whole(in) : -1;
-            return method == null ? null : new Notice(method, id);
+    private Object readMessage(ByteBuf in) {
+        int size = readArrayHeader(in);
+        long type = size >= 1 ? readNonNegativeInteger(in) : -1;
+        if (type == NOTIFICATION_TYPE && size == 3) {
+            String method = readText(in);
+            long id = readArrayHeader(in) >= 1 ? readNonNegativeInteger(in) : -1;
+            return method == null ? null : new Notification(method, id);
         }
-        if (type > 0 && type <= NOTICE) {
-            // An answer, though nothing was asked, or a notice of another form.
+        if (type > 0 && type <= NOTIFICATION_TYPE) {
+            // A response, though the front sends no requests, or a malformed notification.
             return null;
         }
-        long id = type == REQUEST && size >= 2 ? whole(in) : -1;
+        long id = type == REQUEST_TYPE && size >= 2 ? readNonNegativeInteger(in) : -1;
         if (id < 0) {
-            throw new CorruptedFrameException("a request without an id");
+            throw new CorruptedFrameException("request has no valid id");
         }
-        String method = size == REQUEST_PARTS ? text(in) : null;
+        String method = size == REQUEST_ELEMENTS ? readText(in) : null;
         if (method == null) {
             return new Call(id, "", Map.of(), null, "a request is [0, id, method, params]");
         }
-        int params = arrayHeader(in);
-        Map<String, String> fields = params >= 1 ? fields(in) : null;
+        int params = readArrayHeader(in);
+        Map<String, String> fields = params >= 1 ? readFields(in) : null;
         if (fields == null) {
             return new Call(id, method, Map.of(), null, "no map of fields, text to text");
         }
-        ByteBuf body = params >= 2 ? binary(in) : null;
+        ByteBuf body = params >= 2 ? readBinary(in) : null;
         return new Call(id, method, fields, body == null ? null : body.retain(), null);
     }
 
-    private int arrayHeader(ByteBuf in) {
-        return header(in, 0x90, 0xdc);
+    private int readArrayHeader(ByteBuf in) {
+        return readHeader(in, 0x90, 0xdc);
     }
 
-    /** The length of an array or a map, or -1 if something else stands here. */
-    private static int header(ByteBuf in, int fix, int wide) {
+    /** Reads the length of an array or a map; -1 if the value is of another type. */
+    private static int readHeader(ByteBuf in, int fixType, int type16) {
         int type = in.isReadable() ? in.readUnsignedByte() : 0xc0;
-        if ((type & 0xf0) == fix) {
+        if ((type & 0xf0) == fixType) {
             return type & 0xf;
         }
-        return type == wide ? in.readUnsignedShort() : type == wide + 1 ? (int) in.readUnsignedInt() : -1;
+        return type == type16 ? in.readUnsignedShort() : type == type16 + 1 ? (int) in.readUnsignedInt() : -1;
     }
 
-    /** A whole number from 0, or -1. */
-    private static long whole(ByteBuf in) {
+    /** Reads a non-negative integer; -1 if the value is anything else. */
+    private static long readNonNegativeInteger(ByteBuf in) {
         int type = in.isReadable() ? in.readUnsignedByte() : 0xc0;
         if (type <= 0x7f) {
             return type;
@@ -283,7 +294,8 @@
         });
     }
 
-    private static ByteBuf binary(ByteBuf in) {
+    /** Reads binary data as a slice; null if the value is of another type. */
+    private static ByteBuf readBinary(ByteBuf in) {
         int type = in.isReadable() ? in.readUnsignedByte() : 0xc0;
         int length = switch (type) {
             case 0xc4 -> in.readUnsignedByte();
@@ -294,7 +306,8 @@
         return length < 0 ? null : in.readSlice(length);
     }
 
-    private static String text(ByteBuf in) {
+    /** Reads a string; null if the value is of another type. */
+    private static String readText(ByteBuf in) {
         int type = in.isReadable() ? in.readUnsignedByte() : 0xc0;
         int length = (type & 0xe0) == 0xa0 ? type & 0x1f : switch (type) {
             case 0xd9 -> in.readUnsignedByte();
@@ -305,24 +318,25 @@
         return length < 0 ? null : in.readCharSequence(length, StandardCharsets.UTF_8).toString();
     }
 
-    private Map<String, String> fields(ByteBuf in) {
-        int count = header(in, 0x80, 0xde);
+    /** Reads a map of strings; null if the value is not a map or a key is not a string. */
+    private Map<String, String> readFields(ByteBuf in) {
+        int count = readHeader(in, 0x80, 0xde);
         if (count < 0) {
             return null;
         }
         Map<String, String> fields = new HashMap<>();
         for (int k = 0; k < count; k++) {
-            String name = text(in);
-            int valueAt = in.readerIndex();
-            String value = name == null ? null : text(in);
+            String name = readText(in);
+            int valueIndex = in.readerIndex();
+            String value = name == null ? null : readText(in);
             if (name == null) {
                 return null;
             }
             if (value == null) {
-                // A field of another type: of no use by this name, and no harm under one that is not known.
-                in.readerIndex(valueAt);
-                budget = limits.messageValues;
-                pass(in, 1);
+                // Ignore a value that is not a string; a known field then counts as absent.
+                in.readerIndex(valueIndex);
+                remainingValues = limits.messageValues;
+                skipValues(in, 1);
             } else {
                 fields.put(name, value);
             }
--- a/src/main/java/reedspring/net/RpcWriter.java
+++ b/src/main/java/reedspring/net/RpcWriter.java
@@ -6,34 +6,34 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Answers to clients; the rows of a result go out as the engine's buffers. */
+/** Encodes answers to clients; result rows are sent from the engine's buffers without a copy. */
 final class RpcWriter {
     private RpcWriter() {
     }
 
     /**
-     * A result, as one message: where memory is lacking for a part of it, nothing of it is written, and what
-     * goes out next is not taken for its rest.
+     * Encodes a result as one message. If an allocation fails, nothing is written, so that the next message
+     * can't be taken for the rest of this one.
      *
-     * @param pages the rows, which stay their owner's
-     * @param fields up to 15, name and value in turn
+     * @param pages the rows, which are retained and stay the caller's
+     * @param fields up to 15 fields, name and value in turn
      */
-    static ByteBuf rows(ByteBufAllocator buffers, long id, List<ByteBuf> pages, String... fields) {
+    static ByteBuf rows(ByteBufAllocator allocator, long id, List<ByteBuf> pages, String... fields) {
         int length = pages.stream().mapToInt(ByteBuf::readableBytes).sum();
-        CompositeByteBuf whole = buffers.compositeBuffer(pages.size() + 2);
+        CompositeByteBuf message = allocator.compositeBuffer(pages.size() + 2);
         try {
-            whole.addComponent(true, rowsHead(buffers, id, length));
-            pages.forEach(page -> whole.addComponent(true, page.retain()));
-            return whole.addComponent(true, rowsTail(buffers, fields));
+            message.addComponent(true, resultHead(allocator, id, length));
+            pages.forEach(page -> message.addComponent(true, page.retain()));
+            return message.addComponent(true, resultTail(allocator, fields));
         } catch (RuntimeException | Error e) {
-            whole.release();
+            message.release();
             throw e;
         }
     }
 
-    /** What stands before a result of that many bytes. */
-    private static ByteBuf rowsHead(ByteBufAllocator buffers, long id, int length) {
-        ByteBuf out = begin(buffers, id);
+    /** Encodes what precedes a result of {@code length} bytes. */
+    private static ByteBuf resultHead(ByteBufAllocator allocator, long id, int length) {
+        ByteBuf out = beginResponse(allocator, id);
         out.writeByte(0xc0).writeByte(0x92);
         if (length < 1 << 8) {
             out.writeByte(0xc4).writeByte(length);
@@ -45,34 +45,39 @@
         return out;
     }
 
-    /** What stands behind it: up to 15 fields, name and value in turn. */
-    private static ByteBuf rowsTail(ByteBufAllocator buffers, String... fields) {
-        ByteBuf out = buffers.buffer(128).writeByte(0x80 | fields.length / 2);
-        for (String each : fields) {
-            text(out, each);
+    /** Encodes what follows a result: up to 15 fields, name and value in turn. */
+    private static ByteBuf resultTail(ByteBufAllocator allocator, String... fields) {
+        ByteBuf out = allocator.buffer(128).writeByte(0x80 | fields.length / 2);
+        for (String field : fields) {
+            writeText(out, field);
         }
         return out;
     }
 
-    static ByteBuf heartbeat(ByteBufAllocator buffers, long id, boolean able) {
-        int answer = able ? 0xc3 : 0xc2;
-        return begin(buffers, id).writeByte(0xc0).writeByte(0x92).writeByte(answer).writeByte(0x80);
+    /** Encodes the answer to a heartbeat: whether the front is ready. */
+    static ByteBuf heartbeat(ByteBufAllocator allocator, long id, boolean ready) {
+        int answer = ready ? 0xc3 : 0xc2;
+        return beginResponse(allocator, id).writeByte(0xc0).writeByte(0x92).writeByte(answer).writeByte(0x80);
     }
 
-    /** @param value of the one field, or null for none */
-    static ByteBuf error(ByteBufAllocator buffers, long id, String word, String field, String value) {
-        ByteBuf out = begin(buffers, id).writeByte(0x92);
-        text(out, word);
+    /**
+     * Encodes an error with one field at most.
+     *
+     * @param value of the field, or null for no field
+     */
+    static ByteBuf error(ByteBufAllocator allocator, long id, String name, String field, String value) {
+        ByteBuf out = beginResponse(allocator, id).writeByte(0x92);
+        writeText(out, name);
         out.writeByte(value == null ? 0x80 : 0x81);
         if (value != null) {
-            text(out, field);
-            text(out, value);
+            writeText(out, field);
+            writeText(out, value);
         }
         return out.writeByte(0xc0);
     }
 
-    private static ByteBuf begin(ByteBufAllocator buffers, long id) {
-        ByteBuf out = buffers.buffer(64).writeByte(0x94).writeByte(1);
+    private static ByteBuf beginResponse(ByteBufAllocator allocator, long id) {
+        ByteBuf out = allocator.buffer(64).writeByte(0x94).writeByte(1);
         if (id < 0x80) {
             out.writeByte((int) id);
         } else if (id < 1L << 32) {
@@ -83,7 +88,7 @@
         return out;
     }
 
-    private static void text(ByteBuf out, String text) {
+    private static void writeText(ByteBuf out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, 255);
         out.writeByte(0xd9).writeByte(length).writeBytes(bytes, 0, length);
--- a/src/test/java/reedspring/net/CodecTest.java
+++ b/src/test/java/reedspring/net/CodecTest.java
@@ -84,7 +84,7 @@
             assertEquals(Integer.toString(id), call.fields().get("patience"));
             assertNull(call.fault());
             assertEquals(statements.get(id), text(call.body()));
-            assertEquals(new RpcDecoder.Notice("revoke", id), out.get(2 * id + 1));
+            assertEquals(new RpcDecoder.Notification("revoke", id), out.get(2 * id + 1));
         }
         assertFalse(channel.finish());
     }
@@ -105,7 +105,7 @@
         }
         quiet(new EmbeddedChannel(new RpcDecoder(limits(), more -> true)), noise, chance);
         quiet(new EmbeddedChannel(new RedisDecoder(), new AnswerDecoder(limits())), noise, chance);
-        Statement.dataSet(Unpooled.wrappedBuffer(noise));
+        StatementScanner.findDataSet(Unpooled.wrappedBuffer(noise));
         events(1000, (id, data) -> assertTrue(data.length() <= 1000)).feed(Unpooled.wrappedBuffer(noise));
         try {
             Json.read(new String(noise, StandardCharsets.ISO_8859_1));
@@ -148,7 +148,7 @@
         EmbeddedChannel channel = new EmbeddedChannel(new RpcDecoder(limits(), more -> more <= 0));
         byte[] sent = joined(List.of(Client.query(1, Client.trace(), 5, "s".repeat(30_000)),
                 Client.pack(List.of(2, "revoke", List.of(9)))));
-        assertEquals(List.of(new RpcDecoder.Refused(1), new RpcDecoder.Notice("revoke", 9)),
+        assertEquals(List.of(new RpcDecoder.Refused(1), new RpcDecoder.Notification("revoke", 9)),
                 feed(channel, sent, chance));
     }
 
@@ -259,7 +259,7 @@
         groups.put("", -1L);
         groups.forEach((statement, group) -> {
             ByteBuf text = Unpooled.copiedBuffer(statement, StandardCharsets.UTF_8);
-            assertEquals(group, Statement.dataSet(text).value(), statement);
+            assertEquals(group, StatementScanner.findDataSet(text).value(), statement);
         });
     }
 
--- a/src/test/java/reedspring/net/DeadlineMissesIT.java
+++ b/src/test/java/reedspring/net/DeadlineMissesIT.java
@@ -103,7 +103,7 @@
         await("some at the engine", () -> !engine.seen("fetch").isEmpty());
         stoppedPastItsTime(300, () -> { });
         client.read(traces.size());
-        await("the rest counted", () -> front.logged("answer late, not named"));
+        await("the rest counted", () -> front.logged("answer late, details omitted"));
         assertEquals(NAMED, front.log.stream().filter(line -> line.contains("answer late: ")).count());
     }
 
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -374,7 +374,7 @@
                     made.clock().now() + 50_000, new QueryLifecycle(
                             new Deployment.ResourceGroup(10_000, 2, 1, 0, 1, Deployment.Effect.READ_ONLY,
                                     Deployment.Recognised.ALL, 0, false, null, null), 3));
-            Submission s = new Submission(q, made.clock().now(), q.leavesAt, Long.MAX_VALUE);
+            Submission s = new Submission(q, made.clock().now(), q.deadline, Long.MAX_VALUE);
             EngineConnection connection = new EngineConnection(made, limits, new Rows(limits.pageBytes),
                     "e0", () -> true, ended -> { });
             connection.send(s);
@@ -536,7 +536,7 @@
             deaf.send(Client.query(id, Client.trace(), PATIENCE, "select"));
         }
         serves();
-        await("the cut", () -> front.logged("it does not read"));
+        await("the close", () -> front.logged("client connection closed, client does not read"));
         serves();
     }
 
