--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -88,8 +88,9 @@
             handleRequest(call);
         } else if (message instanceof RpcDecoder.Refused refused) {
             turnAway(refused.id());
-        } else if (message instanceof RpcDecoder.Notification notice && notice.method().equals("revoke")) {
-            OpenQuery q = openQueries.remove(notice.id());
+        } else if (message instanceof RpcDecoder.Notification notification
+                && notification.method().equals("revoke")) {
+            OpenQuery q = openQueries.remove(notification.id());
             if (q != null) {
                 front.clientLeft(q, false);
             }
--- a/src/main/java/reedspring/net/DeadlineMisses.java
+++ b/src/main/java/reedspring/net/DeadlineMisses.java
@@ -11,8 +11,8 @@
     private final Clock clock;
     private final Timers timers;
     private final Log log;
-    private long spanEndsAt;
-    private int loggedInSpan;
+    private long intervalEndsAt;
+    private int loggedInInterval;
 
     DeadlineMisses(Limits limits, Clock clock, Timers timers, Log log) {
         this.limits = limits;
@@ -70,11 +70,11 @@
 
     /** Logs a query in a line of its own, up to a limit per interval, as a long stall makes many late. */
     private void report(String event, OpenQuery q, long now) {
-        if (now >= spanEndsAt) {
-            spanEndsAt = now + limits.logEvery * 10L;
-            loggedInSpan = 0;
+        if (now >= intervalEndsAt) {
+            intervalEndsAt = now + limits.logEvery * 10L;
+            loggedInInterval = 0;
         }
-        if (loggedInSpan++ >= limits.missesNamed) {
+        if (loggedInInterval++ >= limits.missesNamed) {
             log.line(event + ", details omitted", "");
             return;
         }
--- a/src/main/java/reedspring/net/RpcDecoder.java
+++ b/src/main/java/reedspring/net/RpcDecoder.java
@@ -36,9 +36,9 @@
         boolean reserve(int bytes);
     }
 
-    RpcDecoder(Limits limits, PartialMessageBudget pieces) {
+    RpcDecoder(Limits limits, PartialMessageBudget partialMessageBudget) {
         this.limits = limits;
-        this.partialMessageBudget = pieces;
+        this.partialMessageBudget = partialMessageBudget;
     }
 
     /** A request whose input was discarded because no memory was left for it. */
--- a/src/test/java/reedspring/net/CodecTest.java
+++ b/src/test/java/reedspring/net/CodecTest.java
@@ -27,7 +27,7 @@
 import reedspring.boot.BootException;
 import reedspring.rig.Client;
 
-/** The codecs, fed in pieces of any size and with bytes that are none of theirs. */
+/** Tests the codecs with fragments of any size and with invalid input. */
 class CodecTest {
     private static Limits limits() {
         try {
@@ -37,86 +37,88 @@
         }
     }
 
-    private static byte[] joined(List<byte[]> parts) {
+    private static byte[] concatenate(List<byte[]> parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         parts.forEach(out::writeBytes);
         return out.toByteArray();
     }
 
-    /** Hands the bytes over in pieces that chance cuts, and takes what comes out. */
-    private static List<Object> feed(EmbeddedChannel channel, byte[] bytes, SplittableRandom chance) {
-        List<Object> out = new ArrayList<>();
+    /** Writes the bytes in fragments of random sizes and returns the decoded messages. */
+    private static List<Object> feedFragments(EmbeddedChannel channel, byte[] bytes,
+            SplittableRandom random) {
+        List<Object> decoded = new ArrayList<>();
         for (int at = 0; at < bytes.length; ) {
-            int size = Math.min(bytes.length - at, 1 + chance.nextInt(chance.nextInt(4) == 0 ? 3000 : 9));
+            int size = Math.min(bytes.length - at, 1 + random.nextInt(random.nextInt(4) == 0 ? 3000 : 9));
             channel.writeInbound(Unpooled.copiedBuffer(bytes, at, size));
             at += size;
             for (Object next = channel.readInbound(); next != null; next = channel.readInbound()) {
-                out.add(next);
+                decoded.add(next);
             }
         }
-        return out;
+        return decoded;
     }
 
-    private static String text(ByteBuf body) {
+    private static String textAndRelease(ByteBuf body) {
         String text = body.toString(StandardCharsets.ISO_8859_1);
         body.release();
         return text;
     }
 
     @Property(tries = 60, seed = "31")
-    void requestsComeOutWholeWhateverThePieces(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void requestsAreDecodedFromAnyFragments(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         EmbeddedChannel channel = new EmbeddedChannel(new RpcDecoder(limits(), more -> true));
         List<byte[]> sent = new ArrayList<>();
         List<String> statements = new ArrayList<>();
         for (int id = 0; id < 20; id++) {
-            statements.add("s".repeat(chance.nextInt(chance.nextInt(6) == 0 ? 70_000 : 40)));
+            statements.add("s".repeat(random.nextInt(random.nextInt(6) == 0 ? 70_000 : 40)));
             sent.add(Client.query(id, Client.trace(), id, statements.get(id)));
             sent.add(Client.pack(List.of(2, "revoke", List.of(id))));
             sent.add(Client.pack(List.of(1, id, "passed over", Map.of("a", List.of(1, Map.of())))));
         }
-        List<Object> out = feed(channel, joined(sent), chance);
-        assertEquals(40, out.size());
+        List<Object> decoded = feedFragments(channel, concatenate(sent), random);
+        assertEquals(40, decoded.size());
         for (int id = 0; id < 20; id++) {
-            RpcDecoder.Call call = (RpcDecoder.Call) out.get(2 * id);
+            RpcDecoder.Call call = (RpcDecoder.Call) decoded.get(2 * id);
             assertEquals((long) id, call.id());
             assertEquals("lookup", call.method());
             assertEquals(Integer.toString(id), call.fields().get("patience"));
             assertNull(call.fault());
-            assertEquals(statements.get(id), text(call.body()));
-            assertEquals(new RpcDecoder.Notification("revoke", id), out.get(2 * id + 1));
+            assertEquals(statements.get(id), textAndRelease(call.body()));
+            assertEquals(new RpcDecoder.Notification("revoke", id), decoded.get(2 * id + 1));
         }
         assertFalse(channel.finish());
     }
 
-    /** No bytes do more than end their own connection, and what is asked for is bounded. */
+    /** Invalid input may at most close its own connection, and must not cause unbounded allocation. */
     @Property(tries = 400, seed = "32")
-    void noiseIsReadOrRefusedAndNothingElse(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        byte[] noise = new byte[1 + chance.nextInt(600)];
-        chance.nextBytes(noise);
+    void randomInputIsDecodedOrRejected(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        byte[] input = new byte[1 + random.nextInt(600)];
+        random.nextBytes(input);
         byte[] request = Client.query(1, Client.trace(), 5, "select");
-        if (chance.nextBoolean()) {
-            // Near misses: a request with some bytes changed.
-            for (int k = 0; k < 1 + chance.nextInt(4); k++) {
-                request[chance.nextInt(request.length)] = noise[0];
+        if (random.nextBoolean()) {
+            // An almost valid input: a request with some bytes changed.
+            for (int k = 0; k < 1 + random.nextInt(4); k++) {
+                request[random.nextInt(request.length)] = input[0];
             }
-            noise = request;
+            input = request;
         }
-        quiet(new EmbeddedChannel(new RpcDecoder(limits(), more -> true)), noise, chance);
-        quiet(new EmbeddedChannel(new RedisDecoder(), new AnswerDecoder(limits())), noise, chance);
-        StatementScanner.findDataSet(Unpooled.wrappedBuffer(noise));
-        events(1000, (id, data) -> assertTrue(data.length() <= 1000)).feed(Unpooled.wrappedBuffer(noise));
+        decodeOrReject(new EmbeddedChannel(new RpcDecoder(limits(), more -> true)), input, random);
+        decodeOrReject(new EmbeddedChannel(new RedisDecoder(), new AnswerDecoder(limits())), input, random);
+        StatementScanner.findDataSet(Unpooled.wrappedBuffer(input));
+        eventStream(1000, (id, data) -> assertTrue(data.length() <= 1000))
+                .feed(Unpooled.wrappedBuffer(input));
         try {
-            Json.read(new String(noise, StandardCharsets.ISO_8859_1));
+            Json.read(new String(input, StandardCharsets.ISO_8859_1));
         } catch (IOException e) {
-            // refused, as nearly all noise is
+            // rejected, as nearly all random input is
         }
     }
 
-    private static void quiet(EmbeddedChannel channel, byte[] noise, SplittableRandom chance) {
+    private static void decodeOrReject(EmbeddedChannel channel, byte[] input, SplittableRandom random) {
         try {
-            feed(channel, noise, chance);
+            feedFragments(channel, input, random);
             channel.finishAndReleaseAll();
         } catch (DecoderException e) {
             channel.close();
@@ -124,7 +126,7 @@
     }
 
     @Example
-    void aMessageOverALimitIsRefusedBeforeItHasCome() {
+    void aMessageOverALimitIsRejectedBeforeItIsComplete() {
         for (byte[] head : List.of(new byte[] {(byte) 0xc6, 0, 16, 0, 0},
                 new byte[] {(byte) 0xdd, 0, 1, 0, 0},
                 new byte[] {(byte) 0xdf, 127, -1, -1, -1}, new byte[] {(byte) 0xc1})) {
@@ -141,41 +143,42 @@
                 "*4\r\n$1\r\na\r\n$4\r\ndata\r\n$1\r\n-\r\n$6001\r\n", StandardCharsets.US_ASCII)));
     }
 
-    /** Where there is no room, a large request is passed over and named; what follows it is read as ever. */
+    /** Without memory, a large request is skipped and reported with its id; the next message is decoded. */
     @Property(tries = 40, seed = "35")
-    void whatThereIsNoRoomForIsPassedOver(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void aRequestWithoutMemoryForItIsSkipped(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         EmbeddedChannel channel = new EmbeddedChannel(new RpcDecoder(limits(), more -> more <= 0));
-        byte[] sent = joined(List.of(Client.query(1, Client.trace(), 5, "s".repeat(30_000)),
+        byte[] sent = concatenate(List.of(Client.query(1, Client.trace(), 5, "s".repeat(30_000)),
                 Client.pack(List.of(2, "revoke", List.of(9)))));
         assertEquals(List.of(new RpcDecoder.Refused(1), new RpcDecoder.Notification("revoke", 9)),
-                feed(channel, sent, chance));
+                feedFragments(channel, sent, random));
     }
 
     @Property(tries = 60, seed = "33")
-    void answersOfEnginesComeOutWholeWhateverThePieces(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void engineAnswersAreDecodedFromAnyFragments(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         StringBuilder sent = new StringBuilder();
         List<String> bodies = new ArrayList<>();
         for (int k = 0; k < 30; k++) {
-            String body = "r\t\u00e9\r\n".repeat(chance.nextInt(chance.nextInt(3) == 0 ? 1200 : 3));
+            String body = "r\t\u00e9\r\n".repeat(random.nextInt(random.nextInt(3) == 0 ? 1200 : 3));
             bodies.add(body);
             sent.append("*4\r\n$2\r\nid\r\n$4\r\ndata\r\n$20\r\nsheets=2,rep=a:1;b:2\r\n")
                     .append('$').append(body.length()).append("\r\n").append(body).append("\r\n");
         }
         EmbeddedChannel channel = new EmbeddedChannel(new RedisDecoder(), new AnswerDecoder(limits()));
-        List<Object> out = feed(channel, sent.toString().getBytes(StandardCharsets.ISO_8859_1), chance);
-        assertEquals(30, out.size());
+        List<Object> decoded = feedFragments(channel,
+                sent.toString().getBytes(StandardCharsets.ISO_8859_1), random);
+        assertEquals(30, decoded.size());
         for (int k = 0; k < 30; k++) {
-            AnswerDecoder.Answer answer = (AnswerDecoder.Answer) out.get(k);
+            AnswerDecoder.Answer answer = (AnswerDecoder.Answer) decoded.get(k);
             assertEquals(List.of("id", "data", Map.of("sheets", "2", "rep", "a:1;b:2"), bodies.get(k)),
-                    List.of(answer.id(), answer.word(), answer.fields(), text(answer.body())));
+                    List.of(answer.id(), answer.word(), answer.fields(), textAndRelease(answer.body())));
         }
         assertFalse(channel.finish());
     }
 
     @Example
-    void anAnswerOfAnotherFormIsMalformed() {
+    void anAnswerOfAnotherFormIsRejected() {
         for (String text : List.of("+OK\r\n", "*3\r\n", "*-1\r\n", "*4\r\n:1\r\n", "*4\r\n$-1\r\n",
                 "*4\r\n*4\r\n")) {
             EmbeddedChannel channel = new EmbeddedChannel(new RedisDecoder(), new AnswerDecoder(limits()));
@@ -184,8 +187,8 @@
         }
     }
 
-    private static EventStream events(int most, BiConsumer<String, String> reader) {
-        return new EventStream(most, 64, new EventStream.Reader() {
+    private static EventStream eventStream(int maxBytes, BiConsumer<String, String> reader) {
+        return new EventStream(maxBytes, 64, new EventStream.Reader() {
             @Override
             public void read(String id, byte[] data, int length) {
                 reader.accept(id, new String(data, 0, length, StandardCharsets.UTF_8));
@@ -193,19 +196,19 @@
 
             @Override
             public void tooLong(String id, long bytes) {
-                assertTrue(bytes > most, bytes + " bytes");
+                assertTrue(bytes > maxBytes, bytes + " bytes");
                 reader.accept(id, "too long");
             }
         });
     }
 
-    /** What is let go by costs no other event; only a whole line or a good part of one is a sign of life. */
+    /** Skipping an oversized event loses no other; only a whole line, or 64 bytes of one, is activity. */
     @Property(tries = 60, seed = "35")
-    void anEventThatIsTooLongIsToldAndTheNextComesOutWhole(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void anOversizedEventIsReportedAndTheNextIsRead(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         List<String> seen = new ArrayList<>();
-        EventStream events = events(200, (id, data) -> seen.add(id + "|" + data));
-        String end = List.of("\n", "\r\n", "\r").get(chance.nextInt(3));
+        EventStream events = eventStream(200, (id, data) -> seen.add(id + "|" + data));
+        String end = List.of("\n", "\r\n", "\r").get(random.nextInt(3));
         String fits = "x".repeat(200 - "data: ".length());
         String half = "data: " + "y".repeat(100);
         byte[] sent = String.join(end, "id: 1", "data: " + fits, "", "id: 2", "data: " + fits + "x", "",
@@ -213,7 +216,7 @@
                 "id: 4", "data: whole", "", "")
                 .getBytes(StandardCharsets.UTF_8);
         for (int at = 0; at < sent.length; ) {
-            int size = Math.min(sent.length - at, 1 + chance.nextInt(12));
+            int size = Math.min(sent.length - at, 1 + random.nextInt(12));
             events.feed(Unpooled.wrappedBuffer(sent, at, size));
             at += size;
         }
@@ -223,17 +226,17 @@
     }
 
     @Property(tries = 60, seed = "34")
-    void eventsComeOutWholeWhateverThePieces(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void eventsAreDecodedFromAnyFragments(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         List<String> seen = new ArrayList<>();
-        EventStream events = events(1 << 16, (id, data) -> seen.add(id + "|" + data));
-        String end = List.of("\n", "\r\n", "\r").get(chance.nextInt(3));
+        EventStream events = eventStream(1 << 16, (id, data) -> seen.add(id + "|" + data));
+        String end = List.of("\n", "\r\n", "\r").get(random.nextInt(3));
         byte[] sent = String.join(end, ": hello", "", "id: 7", "event: odd",
                 "data: {\"a\":", "data:\"\u00e9\"}",
                 "", "", "retry", "data", "", "id:8", "", "data:  x", "", "data: cut off")
                 .getBytes(StandardCharsets.UTF_8);
         for (int at = 0; at < sent.length; ) {
-            int size = Math.min(sent.length - at, 1 + chance.nextInt(12));
+            int size = Math.min(sent.length - at, 1 + random.nextInt(12));
             events.feed(Unpooled.wrappedBuffer(sent, at, size));
             at += size;
         }
@@ -241,7 +244,7 @@
     }
 
     @Example
-    void theTableGroupIsTheNumberInTheSchemasName() {
+    void theTableGroupIsTheNumberInTheSchemaName() {
         Map<String, Long> groups = new java.util.LinkedHashMap<>();
         groups.put("select * from sales_17.orders", 17L);
         groups.put("SELECT a_3.x FROM \"sales_5\" . \"or\"\"ders\" AS a_3", 5L);
@@ -264,38 +267,38 @@
     }
 
     @Example
-    void aJumpOfTheSystemsClockMovesNoDeadline() {
+    void aJumpOfTheSystemClockMovesNoDeadline() {
         long[] unix = {5_000_000};
-        long[] steady = {77};
-        Clock clock = new Clock(() -> unix[0], () -> steady[0]);
+        long[] monotonic = {77};
+        Clock clock = new Clock(() -> unix[0], () -> monotonic[0]);
         assertEquals(5_000_000, clock.now());
         unix[0] += 36_000_000;
-        steady[0] += 2_000_000;
+        monotonic[0] += 2_000_000;
         assertEquals(5_000_020, clock.now());
-        // Another machine, by the same clock after the jump: a second ago.
+        // A time from another machine, whose clock jumped as well: one second ago.
         assertEquals(5_000_020 - 10_000, clock.ofUnixMs((unix[0] - 10_000) / 10));
         assertEquals(0, clock.ofUnixMs(0), "long ago");
     }
 
     /**
-     * The clock of this machine alone is stepped, of all machines, or of none: what started a second ago
-     * counts as started then, or later, and never as warm.
+     * The clock is stepped on this machine alone, on all machines, or on none. An engine that started a
+     * second ago must count as started then or later, so that it never passes for a warm one.
      */
     @Example
-    void aStepOfTheClockMakesNoColdEngineWarm() {
+    void aStepOfTheSystemClockMakesNoColdEngineWarm() {
         long second = 10_000;
         for (long step : new long[] {0, 5 * second, -5 * second, 3_600 * second, -3_600 * second}) {
-            for (boolean everywhere : new boolean[] {true, false}) {
+            for (boolean allMachines : new boolean[] {true, false}) {
                 long[] unix = {5_000_000_000L};
-                long[] steady = {77};
-                Clock clock = new Clock(() -> unix[0], () -> steady[0]);
+                long[] monotonic = {77};
+                Clock clock = new Clock(() -> unix[0], () -> monotonic[0]);
                 unix[0] += step + 60 * second;
-                steady[0] += 60 * second * 100_000;
-                long truth = clock.now() - second;
-                long told = unix[0] - second - (everywhere ? 0 : step);
-                long started = clock.ofUnixMs(told / 10);
-                assertTrue(started >= truth && started <= clock.now(), "step " + step + ", everywhere "
-                        + everywhere + ": " + (started - truth) + " after the truth");
+                monotonic[0] += 60 * second * 100_000;
+                long expected = clock.now() - second;
+                long reported = unix[0] - second - (allMachines ? 0 : step);
+                long started = clock.ofUnixMs(reported / 10);
+                assertTrue(started >= expected && started <= clock.now(), "step " + step + ", everywhere "
+                        + allMachines + ": " + (started - expected) + " after the truth");
             }
         }
     }
--- a/src/test/java/reedspring/net/DeadlineMissesIT.java
+++ b/src/test/java/reedspring/net/DeadlineMissesIT.java
@@ -10,18 +10,18 @@
 import reedspring.rig.Client;
 import reedspring.rig.EngineStandIn;
 
-/** Of each query answered late, or never, the log tells how it went: docs/on-call.md has the lines. */
+/** Each query answered late, or never, is logged with its steps; docs/on-call.md describes the lines. */
 class DeadlineMissesIT extends Started {
-    /** Well over what a front that has just started takes until it is stopped: it defers in time else. */
-    private static final int PATIENCE_MS = 1_500;
-    private static final int NAMED = 8;
+    /** Long enough that a front just started is stopped before it would defer the query in time. */
+    private static final int CLIENT_TIMEOUT_MS = 1_500;
+    private static final int MAX_LOGGED = 8;
 
-    /** Stops the front until the query's time has passed by {@code lateMs}. */
-    private void stoppedPastItsTime(int lateMs, Work last) throws Exception {
+    /** Stops the front until {@code lateMs} after the client's deadline. */
+    private void stopPastDeadline(int lateMs, Work lastAction) throws Exception {
         front.signal("-STOP");
         try {
-            Thread.sleep(PATIENCE_MS + lateMs);
-            last.run();
+            Thread.sleep(CLIENT_TIMEOUT_MS + lateMs);
+            lastAction.run();
         } finally {
             front.signal("-CONT");
         }
@@ -31,7 +31,7 @@
         void run() throws Exception;
     }
 
-    private String line(String event, String trace) throws InterruptedException {
+    private String awaitLine(String event, String trace) throws InterruptedException {
         try {
             await(event, () -> front.logged(event + ": " + trace));
         } catch (AssertionError e) {
@@ -41,42 +41,42 @@
     }
 
     @Example
-    void anAnswerThatLeavesLateIsToldWithItsTimes() throws Exception {
+    void aLateAnswerIsLoggedWithItsTimes() throws Exception {
         EngineStandIn engine = silentEngine();
         start(engine);
         String trace = Client.trace();
-        Client client = client().send(Client.query(1, trace, PATIENCE_MS, "select"));
+        Client client = client().send(Client.query(1, trace, CLIENT_TIMEOUT_MS, "select"));
         await("it at the engine", () -> engine.seen("fetch").size() == 1);
-        stoppedPastItsTime(300, () -> { });
+        stopPastDeadline(300, () -> { });
         assertEquals("Shed", Client.error(client.read()));
-        String line = line("answer late", trace);
-        assertTrue(line.matches(".*" + trace + " by [2-9][0-9]{2} ms; of " + PATIENCE_MS
+        String line = awaitLine("answer late", trace);
+        assertTrue(line.matches(".*" + trace + " by [2-9][0-9]{2} ms; of " + CLIENT_TIMEOUT_MS
                 + " ms: sent [0-9]+, heard never, decided [0-9]+, ended [0-9]+; 1 submissions, "
                 + "loop behind [1-9][0-9]+ ms; taken 0, attempt decided [0-9]+, sent [0-9]+, "
                 + "attempt ended TIMED_OUT [0-9]+, deferred [0-9]+"), line);
-        assertEquals(1, front.log.stream().filter(each -> each.contains(trace)).count(), "told once");
+        assertEquals(1, front.log.stream().filter(each -> each.contains(trace)).count(), "logged once");
     }
 
     @Example
-    void aClientThatGoesUnansweredPastItsTimeIsTold() throws Exception {
+    void aClientThatLeavesUnansweredPastTheDeadlineIsLogged() throws Exception {
         EngineStandIn engine = silentEngine();
         start(engine);
         String trace = Client.trace();
-        String intime = Client.trace();
-        Client client = client().send(Client.query(1, trace, PATIENCE_MS, "select"));
-        Client early = client().send(Client.query(1, intime, PATIENCE, "select"));
+        String traceInTime = Client.trace();
+        Client client = client().send(Client.query(1, trace, CLIENT_TIMEOUT_MS, "select"));
+        Client clientInTime = client().send(Client.query(1, traceInTime, PATIENCE, "select"));
         await("both at the engine", () -> engine.seen("fetch").size() == 2);
-        stoppedPastItsTime(200, () -> {
+        stopPastDeadline(200, () -> {
             client.close();
-            early.close();
+            clientInTime.close();
         });
-        line("query unanswered past its time, its client has gone", trace);
-        assertTrue(front.log.stream().noneMatch(line -> line.contains(intime)), "it went in time");
+        awaitLine("query unanswered past its time, its client has gone", trace);
+        assertTrue(front.log.stream().noneMatch(line -> line.contains(traceInTime)), "it left in time");
     }
 
-    /** It was told as unanswered; now it is answered, and there is nothing to tell. */
+    /** Such a query was once dropped and logged as unanswered; it must be answered, and not logged. */
     @Example
-    void aQueryOnAConnectionThatTheFrontEndsIsAnswered() throws Exception {
+    void aQueryOnAConnectionThatTheFrontClosesIsAnswered() throws Exception {
         EngineStandIn engine = silentEngine();
         start(engine);
         String trace = Client.trace();
@@ -89,31 +89,31 @@
         assertTrue(front.log.stream().noneMatch(each -> each.contains(trace)), front.log.toString());
     }
 
-    /** A long stop makes all that is out late; it must not fill the log, nor hide other lines. */
+    /** A long stall makes all open queries late; they must not fill the log or suppress other lines. */
     @Example
-    void onlySomeOfManyLateAnswersAreNamed() throws Exception {
+    void onlySomeOfManyLateAnswersAreLogged() throws Exception {
         EngineStandIn engine = silentEngine();
         start(engine);
         Client client = client();
         List<String> traces = new ArrayList<>();
-        for (int id = 1; id <= 3 * NAMED; id++) {
+        for (int id = 1; id <= 3 * MAX_LOGGED; id++) {
             traces.add(Client.trace());
-            client.send(Client.query(id, traces.get(id - 1), PATIENCE_MS, "select"));
+            client.send(Client.query(id, traces.get(id - 1), CLIENT_TIMEOUT_MS, "select"));
         }
-        await("some at the engine", () -> !engine.seen("fetch").isEmpty());
-        stoppedPastItsTime(300, () -> { });
+        await("a query at the engine", () -> !engine.seen("fetch").isEmpty());
+        stopPastDeadline(300, () -> { });
         client.read(traces.size());
-        await("the rest counted", () -> front.logged("answer late, details omitted"));
-        assertEquals(NAMED, front.log.stream().filter(line -> line.contains("answer late: ")).count());
+        await("the count of the others", () -> front.logged("answer late, details omitted"));
+        assertEquals(MAX_LOGGED, front.log.stream().filter(line -> line.contains("answer late: ")).count());
     }
 
     @Example
-    void whatIsAnsweredInTimeIsNotTold() throws Exception {
+    void anAnswerInTimeIsNotLogged() throws Exception {
         EngineStandIn engine = engine(1);
         start(engine);
         serves();
         EngineStandIn.Command first = engine.seen("fetch").get(0);
-        Client client = client().send(Client.query(1, Client.trace(), PATIENCE_MS, "select"));
+        Client client = client().send(Client.query(1, Client.trace(), CLIENT_TIMEOUT_MS, "select"));
         client.read();
         client.close();
         serves();
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -49,17 +49,17 @@
 import reedspring.rig.JournalStandIn;
 import reedspring.rig.Program;
 
-/** Starts the built program by the deploy file's line and speaks to it over loopback sockets. */
+/** Starts the built program with the command line of the deploy file and tests it over loopback sockets. */
 class FrontIT extends Started {
-    private static final int EACH = 12;
-    /** The rules allow 70; the machine that tests may be busy. */
-    private static final int LATE_MS = 400;
+    private static final int QUERIES_PER_CLIENT = 12;
+    /** The specification allows 70; the test machine may be busy. */
+    private static final int MAX_LATE_MS = 400;
     private static final int MEMORY_MB = 104;
 
     @Example
-    void answersHoldAllPagesInOrderAndTheStatementGoesOnUnchanged() throws Exception {
+    void answersHoldAllPagesInOrderAndTheStatementIsSentUnchanged() throws Exception {
         EngineStandIn engine = open(new EngineStandIn(command -> {
-            // The pages come back to front.
+            // Sends the pages in reverse order.
             if (command.word().equals("fetch")) {
                 command.answer("data", "sheets=3,toil=3.5,room=12", EngineStandIn.page(command.id(), 0));
             } else if (command.word().equals("more") && command.words().get(2).equals("2")) {
@@ -81,9 +81,9 @@
         await("the end of its pages", () -> engine.seen("done").size() == 1);
     }
 
-    /** A report that can't be read costs nothing; one that can turns equals away from who says it is busy. */
+    /** An invalid load report is harmless; a valid one moves queries to the engine that is less busy. */
     @Example
-    void loadReportsOfEnginesAreHeard() throws Exception {
+    void loadReportsOfEnginesAreUsed() throws Exception {
         ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor();
         EngineStandIn[] engines = new EngineStandIn[2];
         for (int k = 0; k < 2; k++) {
@@ -103,16 +103,16 @@
                         .read()));
             }
             int busy = engines[0].seen("fetch").size();
-            assertTrue(busy > 3 && engines[1].seen("fetch").size() > busy, "to the busy one: " + busy
+            assertTrue(busy > 3 && engines[1].seen("fetch").size() > busy, "sent to the busy engine: " + busy
                     + " of 80");
-            assertEquals(1, engines[0].accepted.size(), "its connection is as good as before");
+            assertEquals(1, engines[0].accepted.size(), "an invalid report must not close the connection");
         } finally {
             later.shutdownNow();
         }
     }
 
     @Example
-    void manyOpenRequestsAreAnsweredInAnyOrderAndMessagesComeInAnyPieces() throws Exception {
+    void openRequestsAreAnsweredInAnyOrderAndMessagesMayBeFragmented() throws Exception {
         List<EngineStandIn.Command> waiting = new ArrayList<>();
         start(open(new EngineStandIn(command -> {
             waiting.add(0, command);
@@ -130,9 +130,9 @@
             System.arraycopy(next, 0, joined, all.length, next.length);
             all = joined;
         }
-        SplittableRandom chance = new SplittableRandom(5);
+        SplittableRandom random = new SplittableRandom(5);
         for (int at = 0; at < all.length; ) {
-            int size = Math.min(all.length - at, 1 + chance.nextInt(chance.nextInt(5) == 0 ? 2000 : 60));
+            int size = Math.min(all.length - at, 1 + random.nextInt(random.nextInt(5) == 0 ? 2000 : 60));
             client.send(java.util.Arrays.copyOfRange(all, at, at + size));
             at += size;
         }
@@ -143,7 +143,7 @@
     }
 
     @Example
-    void whatCanNotBeUsedIsAnsweredAndBrokenFramingClosesOnlyItsConnection() throws Exception {
+    void invalidRequestsAreAnsweredAndBrokenFramingClosesOnlyItsConnection() throws Exception {
         EngineStandIn silent = silentEngine();
         start(silent, silent);
         Client client = client();
@@ -164,10 +164,10 @@
         assertTrue(client().send(new byte[] {(byte) 0xc1}).ended());
         assertTrue(client().send(new byte[] {(byte) 0xc6, 127, 0, 0, 0}).ended(), "a message over the limit");
         assertTrue(client().send(Client.pack(List.of(0, "one", "lookup", List.of()))).ended(), "no id");
-        SplittableRandom chance = new SplittableRandom(11);
+        SplittableRandom random = new SplittableRandom(11);
         for (int k = 0; k < 60; k++) {
-            byte[] noise = new byte[1 + chance.nextInt(400)];
-            chance.nextBytes(noise);
+            byte[] noise = new byte[1 + random.nextInt(400)];
+            random.nextBytes(noise);
             open(front.client()).send(noise).close();
         }
         assertEquals(List.of(true, List.of()),
@@ -176,9 +176,9 @@
         assertTrue(front.log.size() < 12, front.log::toString);
     }
 
-    /** What would be served to nobody who meant it, or reach an engine that can't use it. */
+    /** Guards against sending engines queries with invalid values, or with a reused id or trace. */
     @Example
-    void whatCanNotBeMeantIsNotDecidedOnAndNoEngineSeesIt() throws Exception {
+    void requestsWithInvalidFieldsOrReusedIdsReachNoEngine() throws Exception {
         EngineStandIn silent = silentEngine();
         start(silent);
         Client good = client();
@@ -186,47 +186,47 @@
         good.send(Client.query(1, open, 1_000, "of the good client"));
         await("the query at the engine", () -> silent.seen("fetch").size() == 1);
         Client bad = client();
-        List<Map.Entry<String, String>> odd = List.of(Map.entry("customer", "nobody"),
+        List<Map.Entry<String, String>> invalidFields = List.of(Map.entry("customer", "nobody"),
                 Map.entry("trace", open), Map.entry("patience", "1e300"), Map.entry("patience", "-1"),
                 Map.entry("patience", "0x1p3"),
                 Map.entry("weight", "NaN"), Map.entry("weight", "Infinity"), Map.entry("weight", "1e12"),
                 Map.entry("need_mb", "-4"), Map.entry("need_mb", "1d"), Map.entry("need_mb", "1e99"));
-        for (int id = 1; id <= odd.size(); id++) {
+        for (int id = 1; id <= invalidFields.size(); id++) {
             Map<String, Object> fields = Client.fields(Client.trace(), 1_000);
-            fields.put(odd.get(id - 1).getKey(), odd.get(id - 1).getValue());
+            fields.put(invalidFields.get(id - 1).getKey(), invalidFields.get(id - 1).getValue());
             bad.send(Client.pack(List.of(0, id, "lookup", List.of(fields, new byte[3]))));
             List<?> answer = bad.read();
             assertEquals(List.of((long) id, "Fault"), List.of(answer.get(1), Client.error(answer)));
         }
-        // Two under one number, and one trace twice: neither is served, whatever the engine says.
-        Client twice = client().send(Client.query(1, Client.trace(), 1_000, "select"),
+        // Two requests with one id, and one trace twice: neither is served, whatever the engine answers.
+        Client reusesId = client().send(Client.query(1, Client.trace(), 1_000, "select"),
                 Client.query(1, Client.trace(), 1_000, "again"));
-        assertEquals("Fault", Client.error(twice.read()));
-        assertTrue(twice.ended());
+        assertEquals("Fault", Client.error(reusesId.read()));
+        assertTrue(reusesId.ended());
         String trace = Client.trace();
-        Client same = client().send(Client.query(1, trace, 1_000, "select"),
+        Client reusesTrace = client().send(Client.query(1, trace, 1_000, "select"),
                 Client.query(2, trace, 1_000, "again"));
-        Map<Long, List<?>> both = same.read(2);
+        Map<Long, List<?>> both = reusesTrace.read(2);
         assertEquals("Fault", Client.error(both.get(2L)));
-        assertEquals("Shed", Client.error(both.get(1L)), "what came first is owed its answer");
-        assertTrue(same.ended());
-        assertTrue(silent.seen("fetch").size() <= 3, "what came first under its number was in order");
+        assertEquals("Shed", Client.error(both.get(1L)), "the first request must be answered");
+        assertTrue(reusesTrace.ended());
+        assertTrue(silent.seen("fetch").size() <= 3, "the first request of each pair was valid");
         assertEquals("Shed", Client.error(good.read()));
     }
 
     @Example
-    void clientsThatSayNothingOrNeverEndAMessageGoAndAGoodOneBetweenQueriesStays() throws Exception {
+    void silentAndIncompleteClientsAreClosedAndAGoodIdleOneStays() throws Exception {
         start(engine(1));
-        Client between = client().send(Client.query(1, Client.trace(), PATIENCE, "select"));
-        between.read();
+        Client idleClient = client().send(Client.query(1, Client.trace(), PATIENCE, "select"));
+        idleClient.read();
         byte[] query = Client.query(1, Client.trace(), PATIENCE, "select");
         Client silent = client();
-        Client trickles = client();
+        Client trickling = client();
         long since = System.nanoTime();
         CompletableFuture<Boolean> trickle = CompletableFuture.supplyAsync(() -> {
             try {
                 for (int k = 0; k < query.length - 1; k++) {
-                    trickles.send(new byte[] {query[k]});
+                    trickling.send(new byte[] {query[k]});
                     Thread.sleep(50);
                 }
                 return false;
@@ -234,16 +234,16 @@
                 return true;
             }
         });
-        assertTrue(silent.ended() && trickles.ended());
-        assertTrue(System.nanoTime() - since < 3_000_000_000L, "an end is due in 3 s");
+        assertTrue(silent.ended() && trickling.ended());
+        assertTrue(System.nanoTime() - since < 3_000_000_000L, "the connections must be closed within 3 s");
         assertTrue(trickle.get(PATIENCE, TimeUnit.MILLISECONDS));
-        between.send(Client.query(2, Client.trace(), PATIENCE, "select"));
-        assertNotEquals(null, Client.rows(between.read()));
+        idleClient.send(Client.query(2, Client.trace(), PATIENCE, "select"));
+        assertNotEquals(null, Client.rows(idleClient.read()));
     }
 
-    /** Room for connections is taken from those that never sent anything of use. */
+    /** At the connection limit, connections that never sent a valid request are closed first. */
     @Example
-    void floodsOfSilentConnectionsCostNoGoodClientItsOwn() throws Exception {
+    void floodsOfSilentConnectionsCloseNoUsedConnection() throws Exception {
         start(engine(1));
         List<Client> good = new ArrayList<>();
         for (int k = 0; k < 20; k++) {
@@ -263,9 +263,9 @@
         }
     }
 
-    /** Clients that ask once and hold their connection must not cost a new one its query. */
+    /** Clients that send one query and keep their connection open must not cost a new client its query. */
     @Example
-    void aCrowdThatHoldsItsConnectionsCostsNoNewClientItsQuery() throws Exception {
+    void idleConnectionsAtTheLimitCostNoNewClientItsQuery() throws Exception {
         start(engine(1));
         for (int round = 0; round < 20; round++) {
             List<Client> fresh = new ArrayList<>();
@@ -298,11 +298,11 @@
         client.send(revoke, Client.query(1, Client.trace(), PATIENCE, "late"));
         await("the query at the engine", () -> held.size() == 1);
         client.send(revoke, revoke);
-        // The connection's later messages show that the revoke has been read before the result comes.
+        // The answer to a later request shows that the revoke was read before the result arrives.
         client.send(Client.query(2, Client.trace(), PATIENCE, "select 2"));
         assertEquals(2L, client.read().get(1));
         held.get(0).answer("data", "sheets=4", "a\tlate\trow\n");
-        await("that no more pages are wanted", () -> engine.seen("done").size() == 1);
+        await("the end of the pages", () -> engine.seen("done").size() == 1);
         client.send(Client.pack(List.of(2, "revoke", List.of(2))),
                 Client.query(3, Client.trace(), PATIENCE, "select 3"));
         assertEquals(3L, client.read().get(1));
@@ -310,7 +310,7 @@
     }
 
     @Example
-    void whereCancelsAreHeededARevokedQueryIsGivenUp() throws Exception {
+    void aRevokedQueryIsAbortedWhereCancelsAreAllowed() throws Exception {
         EngineStandIn engine = silentEngine();
         startHeedingCancels(engine);
         String trace = Client.trace();
@@ -324,18 +324,18 @@
         assertEquals(2L, client.read().get(1));
     }
 
-    /** A machine that is cut off: connections to it neither come up nor fail. */
+    /** A host behind a network partition: connections to it are neither established nor refused. */
     @Example
-    void whereNoConnectionComesUpNothingRanAndAnotherEngineServes() throws Exception {
+    void anotherEngineServesWhereNoConnectionIsEstablished() throws Exception {
         ServerSocket cutOff = open(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
-        // Its queue of connections that nobody accepts is filled until one more no longer comes up.
+        // Fills the accept queue until a further connection attempt stays pending.
         await("a full queue", () -> {
             try {
-                SocketChannel one = open(SocketChannel.open());
-                one.configureBlocking(false);
-                one.connect(cutOff.getLocalSocketAddress());
+                SocketChannel attempt = open(SocketChannel.open());
+                attempt.configureBlocking(false);
+                attempt.connect(cutOff.getLocalSocketAddress());
                 long since = System.nanoTime();
-                return await("an end or none", () -> one.isConnectionPending() && !finished(one)
+                return await("an end or none", () -> attempt.isConnectionPending() && !isFinished(attempt)
                         ? System.nanoTime() - since > 100_000_000L ? "none" : null : "up").equals("none");
             } catch (IOException | InterruptedException e) {
                 throw new AssertionError(e);
@@ -349,7 +349,7 @@
         assertTrue(front.logged("engine unreachable: e0"), front.log::toString);
     }
 
-    private static boolean finished(SocketChannel channel) {
+    private static boolean isFinished(SocketChannel channel) {
         try {
             return channel.finishConnect();
         } catch (IOException e) {
@@ -358,7 +358,7 @@
     }
 
     @Example
-    void thePriorityOfWhatRunsCanBeChanged() throws Exception {
+    void thePriorityOfARunningSubmissionCanBeChanged() throws Exception {
         EngineStandIn engine = silentEngine();
         Turns turns = new Turns();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
@@ -367,20 +367,20 @@
         Boot boot = new Boot(Map.of());
         Limits limits = new Limits(boot, 1024, 192);
         loop.submit(() -> {
-            Front made = new Front(loop, turns, boot, limits, new Log(limits, null), 1);
+            Front localFront = new Front(loop, turns, boot, limits, new Log(limits, null), 1);
             OpenQuery q = new OpenQuery(new Id.Query(1),
                     new RpcDecoder.Call(1, "lookup", Map.of(), Unpooled.EMPTY_BUFFER, null), null,
                     new QueryRequest(null, null, 0, 0, 0, Client.trace(), 1, null, null),
-                    made.clock().now() + 50_000, new QueryLifecycle(
+                    localFront.clock().now() + 50_000, new QueryLifecycle(
                             new Deployment.ResourceGroup(10_000, 2, 1, 0, 1, Deployment.Effect.READ_ONLY,
                                     Deployment.Recognised.ALL, 0, false, null, null), 3));
-            Submission s = new Submission(q, made.clock().now(), q.deadline, Long.MAX_VALUE);
-            EngineConnection connection = new EngineConnection(made, limits, new Rows(limits.pageBytes),
+            Submission s = new Submission(q, localFront.clock().now(), q.deadline, Long.MAX_VALUE);
+            EngineConnection connection = new EngineConnection(localFront, limits, new Rows(limits.pageBytes),
                     "e0", () -> true, ended -> { });
             connection.send(s);
             connection.dial(new Bootstrap().group(loop).channel(NioSocketChannel.class),
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), engine.port()));
-            made.timers().in(2_000, () -> {
+            localFront.timers().in(2_000, () -> {
                 q.priority = 3;
                 connection.renice(s);
             });
@@ -390,19 +390,19 @@
                 engine.seen("renice").get(0).words());
     }
 
-    /** Progress reaches the decisions: a run that says it is far behind its estimate is started afresh. */
+    /** Progress reports reach the decisions: a submission far behind its estimate is replaced by another. */
     @Example
-    void aRunFarBehindIsGivenUpForAFreshOne() throws Exception {
+    void aSubmissionFarBehindItsEstimateIsReplaced() throws Exception {
         EngineStandIn engine = silentEngine();
         startHeedingCancels(engine);
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, PATIENCE, "select"));
-        await("the first run", () -> engine.seen("fetch").size() == 1);
+        await("the first submission", () -> engine.seen("fetch").size() == 1);
         await("its end", () -> {
             engine.seen("fetch").get(0).answer("news", "why=done,val=0.01", "");
             return engine.seen("abort").size() == 1;
         });
-        await("the second run", () -> engine.seen("fetch").size() == 2);
+        await("the second submission", () -> engine.seen("fetch").size() == 2);
         engine.seen("fetch").get(0).answer("data", "sheets=1", "of\tthe first\trun\n");
         engine.seen("fetch").get(1).answer("data", "sheets=1", "of\tthe second\trun\n");
         assertEquals("of\tthe second\trun\n", Client.rows(client.read()));
@@ -445,35 +445,37 @@
         long sent = System.nanoTime();
         Map<Long, List<?>> answers = client.read(16);
         long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent);
-        assertTrue(took < 1200 + LATE_MS, took + " ms");
+        assertTrue(took < 1200 + MAX_LATE_MS, took + " ms");
         assertTrue(answers.values().stream().anyMatch(answer -> Client.rows(answer) != null));
         assertTrue(answers.values().stream()
                 .allMatch(a -> a.get(2) == null || "Shed".equals(Client.error(a))));
         assertTrue(silent.seen.size() + good.seen("fetch").size() >= 16);
         assertTrue(silent.seen("abort").isEmpty(), "cancels are not allowed");
-        assertTrue(silent.left.isEmpty(), "nor by closing");
+        assertTrue(silent.left.isEmpty(), "queries must not be cancelled by closing the connection either");
     }
 
     @Example
-    void anAnswerThatStopsShortOrIsSpoiltEndsItsConnectionAndAllOnItIsDecidedAnew() throws Exception {
+    void aTruncatedOrMalformedAnswerClosesItsConnectionAndItsQueriesAreRetried() throws Exception {
         AtomicInteger fetches = new AtomicInteger();
-        Set<String> first = ConcurrentHashMap.newKeySet();
-        List<String> spoilt = List.of("*4\r\n$16\r\n", "*4\r\n$3000000000\r\nx", "*4\r\n$4\r\n\u0000\u0001",
+        Set<String> malformedIds = ConcurrentHashMap.newKeySet();
+        List<String> malformedAnswers = List.of("*4\r\n$16\r\n", "*4\r\n$3000000000\r\nx",
+                "*4\r\n$4\r\n\u0000\u0001",
                 "*4\r\n$16\r\n%s\r\n$4\r\ndata\r\n$8\r\nsheets=1\r\n$9\r\nno\trows\u0002x\r\n",
                 "*4\r\n$16\r\n%s\r\n$4\r\ndata\r\n$8\r\nsheets=1\r\n$12\r\na\tb\tc\ncut\tof\r\n",
                 "x".repeat(100_000));
-        List<EngineStandIn.Command> open = new java.util.concurrent.CopyOnWriteArrayList<>();
+        List<EngineStandIn.Command> waitingCommands = new java.util.concurrent.CopyOnWriteArrayList<>();
         EngineStandIn engine = open(new EngineStandIn(command -> {
             if (command.word().equals("fetch") && command.words().get(3).equals("waits")) {
-                open.add(command);
-            } else if (command.word().equals("fetch") && fetches.get() < spoilt.size()
-                    && first.add(command.id())) {
-                command.answerRaw(spoilt.get(fetches.getAndIncrement()).replace("%s", command.id()));
+                waitingCommands.add(command);
+            } else if (command.word().equals("fetch") && fetches.get() < malformedAnswers.size()
+                    && malformedIds.add(command.id())) {
+                command.answerRaw(malformedAnswers.get(fetches.getAndIncrement())
+                        .replace("%s", command.id()));
             } else {
-                // More than belongs to it: one ahead under an unknown id, and a second copy.
-                String stranger = Client.trace();
-                new EngineStandIn.Command(List.of("fetch", stranger), command.from(), 0)
-                        .answer("data", "sheets=3", EngineStandIn.page(stranger, 0));
+                // Sends excess answers: one under an unknown id first, and the answer itself twice.
+                String unknownTrace = Client.trace();
+                new EngineStandIn.Command(List.of("fetch", unknownTrace), command.from(), 0)
+                        .answer("data", "sheets=3", EngineStandIn.page(unknownTrace, 0));
                 EngineStandIn.pages(2).accept(command);
                 EngineStandIn.pages(2).accept(command);
             }
@@ -481,39 +483,39 @@
         start(engine);
         Client other = client();
         Client client = client();
-        for (int id = 1; id <= spoilt.size(); id++) {
-            // What else is out on the connection is decided anew.
-            String waits = Client.trace();
-            other.send(Client.query(id, waits, 4_000, "waits"));
-            int runs = open.size();
-            await("it at the engine", () -> open.size() == runs + 1);
+        for (int id = 1; id <= malformedAnswers.size(); id++) {
+            // The other query on the connection is retried.
+            String waitingTrace = Client.trace();
+            other.send(Client.query(id, waitingTrace, 4_000, "waits"));
+            int runs = waitingCommands.size();
+            await("the query at the engine", () -> waitingCommands.size() == runs + 1);
             String trace = Client.trace();
             assertEquals(EngineStandIn.page(trace, 0) + EngineStandIn.page(trace, 1),
                     Client.rows(client.send(Client.query(id, trace, 4_000, "select")).read()));
-            await("it there once more", () -> open.size() == runs + 2);
-            assertTrue(engine.left.contains(open.get(runs).from()));
-            EngineStandIn.pages(1).accept(open.get(runs + 1));
-            assertEquals(EngineStandIn.page(waits, 0), Client.rows(other.read()));
+            await("the query at the engine again", () -> waitingCommands.size() == runs + 2);
+            assertTrue(engine.left.contains(waitingCommands.get(runs).from()));
+            EngineStandIn.pages(1).accept(waitingCommands.get(runs + 1));
+            assertEquals(EngineStandIn.page(waitingTrace, 0), Client.rows(other.read()));
         }
-        assertEquals(spoilt.size(), fetches.get());
+        assertEquals(malformedAnswers.size(), fetches.get());
         assertTrue(front.logged("an answer does not end"), front.log::toString);
         assertTrue(engine.seen("done").stream().noneMatch(c -> engine.seen("fetch").stream()
-                .noneMatch(f -> f.id().equals(c.id()))), "of an id that it was never given");
+                .noneMatch(f -> f.id().equals(c.id()))), "done for an id that the engine was never sent");
     }
 
     @Example
-    void aConnectionThatWorksNoMoreIsLeftForANewOne() throws Exception {
-        AtomicReference<Socket> cut = new AtomicReference<>();
+    void aBrokenEngineConnectionIsReplaced() throws Exception {
+        AtomicReference<Socket> brokenSocket = new AtomicReference<>();
         EngineStandIn engine = open(new EngineStandIn(command -> {
-            cut.compareAndSet(null, command.from());
-            if (command.from() != cut.get()) {
+            brokenSocket.compareAndSet(null, command.from());
+            if (command.from() != brokenSocket.get()) {
                 EngineStandIn.pages(1).accept(command);
             }
         }));
         start(engine);
         Client client = client();
         client.send(Client.query(1, Client.trace(), 15_000, "swallowed"));
-        await("the question whether it works", () -> engine.seen("alive").size() == 1);
+        await("the liveness check", () -> engine.seen("alive").size() == 1);
         AtomicInteger ids = new AtomicInteger(1);
         await("a new connection", () -> {
             try {
@@ -524,16 +526,17 @@
             }
         });
         assertEquals(2, engine.accepted.size());
-        assertFalse(engine.left.contains(cut.get()), "what is out there is not given up");
+        assertFalse(engine.left.contains(brokenSocket.get()),
+                "a connection with running queries must not be closed");
     }
 
     @Example
     void aClientThatDoesNotReadIsCutOffAndTheOthersServed() throws Exception {
         start(engine(7));
-        Client deaf = client();
-        deaf.socket.setReceiveBufferSize(1 << 16);
+        Client nonReading = client();
+        nonReading.socket.setReceiveBufferSize(1 << 16);
         for (int id = 1; id <= 32; id++) {
-            deaf.send(Client.query(id, Client.trace(), PATIENCE, "select"));
+            nonReading.send(Client.query(id, Client.trace(), PATIENCE, "select"));
         }
         serves();
         await("the close", () -> front.logged("client connection closed, client does not read"));
@@ -541,7 +544,7 @@
     }
 
     @Example
-    void anEngineThatEndsWithPagesMissingServesNothing() throws Exception {
+    void anAnswerWithMissingPagesIsNotServed() throws Exception {
         EngineStandIn engine = open(new EngineStandIn(command -> {
             if (command.word().equals("fetch")) {
                 command.answer("data", "sheets=3", "a\tthird\tof it\n");
@@ -554,11 +557,11 @@
         assertNull(Client.rows(answer));
         assertEquals(3, engine.seen("fetch").size(), "all submissions were made");
         assertEquals(3, engine.seen("fetch").stream().map(EngineStandIn.Command::from).distinct().count(),
-                "a page that is still to come would be taken for one of the next run");
+                "a late page could be taken for one of the next submission");
     }
 
     @Example
-    void itsHeartbeatIsTrueOnceItHasAList() throws Exception {
+    void theHeartbeatIsTrueOnceThereIsAnEngineList() throws Exception {
         journal = open(new JournalStandIn());
         front = open(new Program(Program.config(Program.freeAddress(), journal.address()))).ready();
         Client client = client();
@@ -576,9 +579,9 @@
         serves();
     }
 
-    /** A quarter of 128 descriptors is for engines: what rests at one has to make room for the next. */
+    /** Engines may use a quarter of 128 descriptors: idle connections are closed to make room for others. */
     @Example
-    void moreEnginesThanConnectionsServeAll() throws Exception {
+    void moreEnginesThanConnectionsAllServe() throws Exception {
         EngineStandIn engine = engine(1);
         String[] hosts = new String[100];
         for (int k = 0; k < hosts.length; k++) {
@@ -594,19 +597,19 @@
         }
         assertFalse(front.logged("engine connections at their limit"), front.log::toString);
         assertTrue(engine.accepted.size() > 64, "many were dialled: " + engine.accepted.size());
-        await("the end of those that made room", () -> engine.accepted.size() - engine.left.size() <= 32);
+        await("the close of idle connections", () -> engine.accepted.size() - engine.left.size() <= 32);
     }
 
     @Example
-    void theJournalIsResumedByNumberAndWhatItSaysWrongKeepsTheList() throws Exception {
+    void theJournalIsResumedByNumberAndAMalformedEventKeepsTheList() throws Exception {
         EngineStandIn first = engine(1);
         EngineStandIn second = engine(1);
         startWith(host("e0", first.address(), "ready"));
         await("the call", () -> journal.calledFrom.equals(List.of("1")));
-        String two = "id: 2\r\n: a comment\r\ndata: " + event(2, false, host("e1", second.address(), "ready"))
-                + "\r\n\r\n";
-        journal.send("id: 1\ndata: " + event(1, true) + "\n\n" + two.substring(0, 40));
-        journal.send(two.substring(40));
+        String secondEvent = "id: 2\r\n: a comment\r\ndata: "
+                + event(2, false, host("e1", second.address(), "ready")) + "\r\n\r\n";
+        journal.send("id: 1\ndata: " + event(1, true) + "\n\n" + secondEvent.substring(0, 40));
+        journal.send(secondEvent.substring(40));
         await("the second engine in use", () -> {
             try {
                 serves();
@@ -623,7 +626,7 @@
         serves();
         journal.reset();
         await("the next call", () -> journal.calledFrom.size() == 4);
-        // A new engine has the address of one that has gone.
+        // A new engine uses the address of a removed one.
         journal.send("id: 3\ndata: " + event(3, true, host("e1", second.address(), "gone"),
                 host("e2", second.address(), "ready")) + "\n\n");
         int before = first.seen.size();
@@ -635,7 +638,7 @@
             }
             return second.accepted.size() == 2;
         });
-        assertTrue(first.seen.size() <= before + 1, "the first is not listed any more");
+        assertTrue(first.seen.size() <= before + 1, "the first engine is no longer listed");
         int calls = journal.calledFrom.size();
         await("a call after silence", () -> journal.calledFrom.size() > calls);
         assertEquals("3", journal.calledFrom.get(calls));
@@ -668,15 +671,15 @@
                     () -> front.logged("nothing changed: " + each.getKey() + ": "));
             front.log.clear();
         }
-        // Several in a row, while the journal is being called.
+        // Several reloads in a row, while the front connects to the journal.
         JournalStandIn last = open(new JournalStandIn());
         for (int k = 0; k < 5; k++) {
             front.reload(config.replace(journal.address(), k < 4 ? Program.freeAddress() : last.address()));
         }
         await("the call at the last address", () -> !last.calledFrom.isEmpty());
         EngineStandIn added = engine(1);
-        // Of two signals after the last file, the second ends the first one's call: told to that, the news is
-        // told again to the call that stays.
+        // If two signals follow the last file, the second closes the connection made for the first. The event
+        // is therefore sent twice, so that the remaining connection gets it too.
         last.tell(true);
         last.tell(true, host("e9", added.address(), "ready"));
         await("the new engine in use", () -> {
@@ -696,9 +699,12 @@
         assertEquals(0, front.process.exitValue(), front.log::toString);
     }
 
-    /** Under nohup every reload day broke the drain rule, as no front heard of its new journal. */
+    /**
+     * A process started by nohup inherits an ignored SIGHUP. Fronts then never learned of a new journal
+     * address, and went on sending queries to draining engines after a reload.
+     */
     @Example
-    void aReloadIsHeardWhereWhatStartedTheFrontIgnoresSighup() throws Exception {
+    void aReloadWorksWhereTheParentProcessIgnoresSighup() throws Exception {
         journal = open(new JournalStandIn());
         String config = Program.config(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine(1).address(), "ready")));
@@ -709,26 +715,27 @@
         assertFalse(front.logged("no reload is heard"), front.log::toString);
     }
 
-    /** A starting front on half a core pays for each class: the platform's line loads none of what is off. */
+    /** Class loading slows the start of a front on half a core: optional features must load no classes. */
     @Example
-    void thePlatformsLineLoadsNothingOfWhatIsSwitchedOnElsewhere() throws Exception {
-        Path loaded = Files.createTempFile("reedspring", ".classes");
+    void theDefaultCommandLineLoadsNoOptionalClasses() throws Exception {
+        Path classLog = Files.createTempFile("reedspring", ".classes");
         journal = open(new JournalStandIn());
         front = open(Program.withJvm(Program.config(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine(1).address(), "ready"))),
-                "-Xlog:class+load:file=" + loaded)).ready();
+                "-Xlog:class+load:file=" + classLog)).ready();
         serves();
-        List<String> lines = Files.readAllLines(loaded);
+        List<String> lines = Files.readAllLines(classLog);
         assertTrue(lines.stream().anyMatch(line -> line.contains("reedspring.net.Front ")));
-        for (String none : List.of("picocli", "org.apache.commons", "reedspring.settings", "reedspring.cli",
-                "reedspring.spool", "reedspring.net.KeptAnswers", "reedspring.net.JsonLog")) {
-            assertTrue(lines.stream().noneMatch(line -> line.contains(none)),
-                    () -> lines.stream().filter(line -> line.contains(none)).toList().toString());
+        for (String optionalClass : List.of("picocli", "org.apache.commons", "reedspring.settings",
+                "reedspring.cli", "reedspring.spool", "reedspring.net.KeptAnswers",
+                "reedspring.net.JsonLog")) {
+            assertTrue(lines.stream().noneMatch(line -> line.contains(optionalClass)),
+                    () -> lines.stream().filter(line -> line.contains(optionalClass)).toList().toString());
         }
     }
 
     @Example
-    void bytesThatTrickleAreNoSignOfLifeFromTheJournal() throws Exception {
+    void tricklingBytesDoNotKeepAJournalConnectionAlive() throws Exception {
         start(engine(1));
         await("the call", () -> journal.calledFrom.size() == 1);
         long since = System.nanoTime();
@@ -741,12 +748,12 @@
             Thread.sleep(100);
         }
         assertEquals(List.of("1", "1"), journal.calledFrom);
-        assertTrue(System.nanoTime() - since < 3_500_000_000L, "it counts as told 4 s after a stop");
+        assertTrue(System.nanoTime() - since < 3_500_000_000L, "it must have the news 4 s after a stall");
     }
 
-    /** SIGKILL comes 0.7 s past the longest queue timeout of the settings. */
+    /** SIGKILL follows 0.7 s after the longest queue timeout in the settings. */
     @Example
-    void theEndComesBeforeSigkillWhereQueueTimeoutsAreShort() throws Exception {
+    void shutdownEndsBeforeSigkillWhereQueueTimeoutsAreShort() throws Exception {
         EngineStandIn silent = silentEngine();
         journal = open(new JournalStandIn());
         String config = Program.config(Program.freeAddress(), journal.address(),
@@ -758,20 +765,20 @@
             clients.add(client().send(Client.query(1, Client.trace(), 2_400, "select")));
         }
         await("a query at the engine", () -> !silent.seen("fetch").isEmpty());
-        long term = System.nanoTime();
+        long sigtermNanos = System.nanoTime();
         front.signal("-TERM");
         for (Client client : clients) {
             assertNotEquals(null, Client.error(client.read()));
         }
         assertTrue(front.process.waitFor(10, TimeUnit.SECONDS));
-        long endedMs = (System.nanoTime() - term) / 1_000_000;
+        long endedMs = (System.nanoTime() - sigtermNanos) / 1_000_000;
         assertTrue(endedMs < 1_900, "SIGKILL would have come, it ended after " + endedMs + " ms: "
                 + front.log);
     }
 
-    /** What the last turn writes, and what a slow client has not taken yet, goes out before the end. */
+    /** Answers written last, and those that a slow client has not read yet, are sent before the exit. */
     @Example
-    void anAnswerOnItsWayIsNotCutOffByTheEnd() throws Exception {
+    void anAnswerInFlightIsNotCutOffByShutdown() throws Exception {
         List<EngineStandIn.Command> held = new java.util.concurrent.CopyOnWriteArrayList<>();
         EngineStandIn engine = open(new EngineStandIn(command -> {
             if (command.word().equals("fetch")) {
@@ -790,16 +797,16 @@
             client.send(Client.query(id, Client.trace(), 2_400, "select"));
         }
         await("the queries at the engine", () -> held.size() == 16);
-        long term = System.nanoTime();
+        long sigtermNanos = System.nanoTime();
         front.signal("-TERM");
         Thread.sleep(1_000);
         held.forEach(EngineStandIn.pages(7));
-        Thread.sleep(Math.max(1, 1_620 - (System.nanoTime() - term) / 1_000_000));
+        Thread.sleep(Math.max(1, 1_620 - (System.nanoTime() - sigtermNanos) / 1_000_000));
         assertEquals(16, client.read(16).size());
     }
 
     @Example
-    void onSigtermItServesOnAnswersAllAndEndsWithZero() throws Exception {
+    void onSigtermItAnswersAllQueriesAndExitsWithZero() throws Exception {
         EngineStandIn engine = open(new EngineStandIn(command -> {
             if (!command.words().get(command.words().size() - 1).equals("slow")) {
                 EngineStandIn.pages(1).accept(command);
@@ -809,9 +816,9 @@
         Client client = client();
         client.send(Client.query(1, Client.trace(), 9000, "slow"));
         await("the query at the engine", () -> engine.seen("fetch").size() == 1);
-        long term = System.nanoTime();
+        long sigtermNanos = System.nanoTime();
         front.process.toHandle().destroy();
-        await("its leaving", () -> front.logged("leaving"));
+        await("the start of the shutdown", () -> front.logged("leaving"));
         serves();
         assertEquals(List.of(false, List.of()),
                 client.send(Client.pack(List.of(0, 2, "heartbeat", List.of(Map.of())))).read().get(3));
@@ -820,11 +827,11 @@
         assertNotEquals(null, Client.error(answer));
         assertTrue(front.process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(0, front.process.exitValue());
-        assertTrue(System.nanoTime() - term < 3_700_000_000L, "SIGKILL would have come");
+        assertTrue(System.nanoTime() - sigtermNanos < 3_700_000_000L, "SIGKILL would have come");
     }
 
     @Example
-    void timeInWhichItStoodStillCountsAgainstWhatWaitedUnread() throws Exception {
+    void aStallCountsAgainstTheDeadlinesOfUnreadRequests() throws Exception {
         EngineStandIn engine = engine(1);
         start(engine);
         serves();
@@ -839,7 +846,7 @@
         assertTrue(Client.rows(answers.get(1L)) != null);
         assertEquals("Shed", Client.error(answers.get(2L)));
         int pause = Integer.parseInt(((List<?>) ((List<?>) answers.get(2L).get(2)).get(1)).get(1).toString());
-        assertTrue(pause >= 249 && pause <= 499, "named with it: " + pause);
+        assertTrue(pause >= 249 && pause <= 499, "retry time: " + pause);
         List<EngineStandIn.Command> sent = engine.seen("fetch");
         assertEquals(2, sent.size());
         String ttl = sent.get(1).words().get(2).replaceAll(".*ttl=(\\d+).*", "$1");
@@ -847,7 +854,7 @@
     }
 
     @Example
-    void killedAndStartedAgainItServesAtItsAddress() throws Exception {
+    void afterAKillAndARestartItServesAtItsAddress() throws Exception {
         EngineStandIn engine = silentEngine();
         start(engine);
         client().send(Client.query(1, Client.trace(), PATIENCE, "lost with it"));
@@ -860,23 +867,23 @@
         serves();
     }
 
-    /** Engines that do anything, clients that leave and revoke, a journal that breaks. */
+    /** Engines that misbehave at random, clients that leave and revoke, a journal connection that breaks. */
     @Property(tries = 4, seed = "41", shrinking = ShrinkingMode.OFF)
     void inAStormEveryQueryHasOneAnswerInTime(@ForAll long seed) throws Exception {
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         EngineStandIn[] engines = new EngineStandIn[4];
         for (int k = 0; k < engines.length; k++) {
-            SplittableRandom own = chance.split();
-            engines[k] = open(new EngineStandIn(command -> stormy(command, own)));
+            SplittableRandom own = random.split();
+            engines[k] = open(new EngineStandIn(command -> answerRandomly(command, own)));
         }
         start(engines);
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         for (int k = 0; k < 8; k++) {
-            SplittableRandom own = chance.split();
+            SplittableRandom own = random.split();
             clients.add(CompletableFuture.runAsync(() -> {
                 try {
                     for (int round = 0; round < 6; round++) {
-                        ask(own);
+                        sendRandomQueries(own);
                     }
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
@@ -887,16 +894,16 @@
             await("a call", () -> !journal.accepted.get(journal.accepted.size() - 1).isClosed());
             int pos = k + 2;
             EngineStandIn moves = engines[k % 4];
-            String health = List.of("ready", "draining", "gone").get(chance.nextInt(3));
+            String health = List.of("ready", "draining", "gone").get(random.nextInt(3));
             int calls = journal.calledFrom.size();
             try {
                 journal.send("id: " + pos + "\ndata: " + event(pos, false,
                         host("e" + k % 4, moves.address(), health),
                         host("e" + (k + 1) % 4, engines[(k + 1) % 4].address(), "ready")) + "\n\n");
             } catch (IOException e) {
-                // the stream was just cut; the front asks for what it has missed
+                // the stream was just closed; the front requests the missed events
             }
-            if (chance.nextBoolean()) {
+            if (random.nextBoolean()) {
                 journal.reset();
                 await("the next call", () -> journal.calledFrom.size() > calls);
             }
@@ -910,25 +917,25 @@
         closeAll();
     }
 
-    private static void stormy(EngineStandIn.Command command, SplittableRandom chance) {
-        int what;
-        synchronized (chance) {
-            what = chance.nextInt(100);
+    private static void answerRandomly(EngineStandIn.Command command, SplittableRandom random) {
+        int roll;
+        synchronized (random) {
+            roll = random.nextInt(100);
         }
-        if (!command.word().equals("fetch") || what < 60) {
-            EngineStandIn.pages(1 + what % 7).accept(command);
-        } else if (what < 70) {
+        if (!command.word().equals("fetch") || roll < 60) {
+            EngineStandIn.pages(1 + roll % 7).accept(command);
+        } else if (roll < 70) {
             command.answer("news", "why=done,val=0.5", "");
             command.answer("news", "why=waits,val=1", "");
             EngineStandIn.pages(2).accept(command);
-        } else if (what < 92) {
-            command.answer(List.of("full", "failed", "moot").get(what % 3), "-", "");
-        } else if (what < 94) {
+        } else if (roll < 92) {
+            command.answer(List.of("full", "failed", "moot").get(roll % 3), "-", "");
+        } else if (roll < 94) {
             command.answerRaw("*4\r\n$3\r\nodd\r\n!");
-        } else if (what < 96) {
-            // More than an answer may hold.
+        } else if (roll < 96) {
+            // More pages than an answer may have.
             command.answer("data", "sheets=9", EngineStandIn.page(command.id(), 0));
-        } else if (what < 97) {
+        } else if (roll < 97) {
             try {
                 command.from().setSoLinger(true, 0);
                 command.from().close();
@@ -938,32 +945,32 @@
         }
     }
 
-    /** One connection: up to 32 queries, some revoked; then all answers, or the client leaves. */
-    private void ask(SplittableRandom chance) throws IOException {
+    /** Sends up to 32 queries on one connection and revokes some; then reads all answers, or disconnects. */
+    private void sendRandomQueries(SplittableRandom random) throws IOException {
         try (Client client = front.client()) {
-            Map<Long, String> owed = new HashMap<>();
-            int patience = 200 + chance.nextInt(800);
+            Map<Long, String> expectedTraces = new HashMap<>();
+            int patience = 200 + random.nextInt(800);
             List<Long> revoked = new ArrayList<>();
             long sent = System.nanoTime();
-            for (int id = 1; id <= 1 + chance.nextInt(32); id++) {
+            for (int id = 1; id <= 1 + random.nextInt(32); id++) {
                 String trace = Client.trace();
                 client.send(Client.query(id, trace, patience, "select"));
-                owed.put((long) id, trace);
-                if (chance.nextInt(8) == 0) {
+                expectedTraces.put((long) id, trace);
+                if (random.nextInt(8) == 0) {
                     client.send(Client.pack(List.of(2, "revoke", List.of(id))));
                     revoked.add((long) id);
                 }
             }
-            if (chance.nextInt(5) == 0) {
+            if (random.nextInt(5) == 0) {
                 return;
             }
             client.send(Client.pack(List.of(0, 99, "heartbeat", List.of(Map.of()))));
-            owed.put(99L, "");
-            // A revoke may cross its answer, so that an answer for one may come or not.
-            while (!revoked.containsAll(owed.keySet())) {
+            expectedTraces.put(99L, "");
+            // A revoke may cross the answer, so a revoked query may or may not be answered.
+            while (!revoked.containsAll(expectedTraces.keySet())) {
                 List<?> answer = client.read();
-                String trace = owed.remove((Long) answer.get(1));
-                assertTrue(trace != null, () -> "nobody asked, or answered twice: " + answer);
+                String trace = expectedTraces.remove((Long) answer.get(1));
+                assertTrue(trace != null, () -> "unexpected or duplicate answer: " + answer);
                 String rows = answer.get(1).equals(99L) ? null : Client.rows(answer);
                 for (int page = 0; rows != null && !rows.isEmpty(); page++) {
                     String wanted = EngineStandIn.page(trace, page);
@@ -972,11 +979,11 @@
                 }
             }
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent);
-            assertTrue(took < patience + LATE_MS, took + " ms of " + patience);
+            assertTrue(took < patience + MAX_LATE_MS, took + " ms of " + patience);
         }
     }
 
-    /** Floods of connections, of large statements and of answers that nobody reads. */
+    /** A flood of connections, of large statements and of unread answers. */
     @Example
     void theLimitsHoldUnderAFlood() throws Exception {
         journal = open(new JournalStandIn());
@@ -984,12 +991,12 @@
                 host("e0", engine(7).address(), "ready"), host("e1", engine(7).address(), "ready")));
         front = open(new Program(config.replace("\"memory_mb\":192", "\"memory_mb\":" + MEMORY_MB))).ready();
         String large = "x".repeat(200_000);
-        List<Client> deaf = new ArrayList<>();
+        List<Client> nonReading = new ArrayList<>();
         for (int k = 0; k < 300; k++) {
             Client client = client();
             client.socket.setReceiveBufferSize(1 << 16);
-            deaf.add(client);
-            for (int id = 1; id <= EACH; id++) {
+            nonReading.add(client);
+            for (int id = 1; id <= QUERIES_PER_CLIENT; id++) {
                 client.send(Client.query(id, Client.trace(), 3000, id == 1 && k < 60 ? large : "select"));
             }
         }
@@ -1001,11 +1008,11 @@
                     client.send(unfinished);
                 }
             } catch (IOException e) {
-                // closed for want of room, as it should be
+                // closed for lack of room, as expected
             }
         }
         Path proc = Path.of("/proc", Long.toString(front.process.pid()));
-        await("an answer past the flood", () -> {
+        await("an answer after the flood", () -> {
             try (Client fresh = front.client()) {
                 fresh.send(Client.query(1, Client.trace(), 3000, "select"));
                 return Client.rows(fresh.read()) != null;
@@ -1013,8 +1020,8 @@
                 return false;
             }
         });
-        for (Client client : deaf) {
-            Map<Long, List<?>> answers = client.read(EACH);
+        for (Client client : nonReading) {
+            Map<Long, List<?>> answers = client.read(QUERIES_PER_CLIENT);
             assertTrue(answers.values().stream().allMatch(a -> Client.rows(a) == null
                     ? List.of("Shed", "Fault").contains(Client.error(a)) : Client.rows(a).length() > 40_000));
         }
@@ -1030,7 +1037,7 @@
     }
 
     @Example
-    void aConfigurationThatCanNotBeUsedEndsItWithTheFieldsName() throws Exception {
+    void anInvalidConfigurationEndsItWithTheNameOfTheField() throws Exception {
         String good = Program.config("127.0.0.1:1", "127.0.0.1:2");
         Map<String, String> bad = Map.of("RELAY_CONFIG", "{", "journal", Program.config("127.0.0.1:1", null),
                 "listen", Program.config("here", "127.0.0.1:2"),
--- a/src/test/java/reedspring/net/ShortDeadlinesIT.java
+++ b/src/test/java/reedspring/net/ShortDeadlinesIT.java
@@ -17,14 +17,17 @@
 import reedspring.rig.Program;
 import reedspring.rig.Rig;
 
-/** SIGKILL comes 0.7 s past the longest deadline; clients use their connections while these are open. */
+/**
+ * Shutdown with short deadlines: SIGKILL follows 0.7 s after the longest one, and clients use their
+ * connections for as long as these are open.
+ */
 class ShortDeadlinesIT extends Started {
     private static final int[] DEADLINES_MS = {100, 300, 1_200};
-    private static final long KILLED_AFTER_DEADLINE_MS = 700;
-    /** A request that crosses the end of its connection within that time is sent again by its client. */
-    private static final long CROSSING_MS = 50;
+    private static final long SIGKILL_AFTER_DEADLINE_MS = 700;
+    /** A request sent this shortly before the close may cross it; its client sends it again. */
+    private static final long CROSSING_REQUEST_MS = 50;
     private static final int CLIENTS = 8;
-    private static final long ASKS_EVERY_MS = 10;
+    private static final long REQUEST_INTERVAL_MS = 10;
 
     private void startWith(int deadlineMs, EngineStandIn engine) throws Exception {
         journal = open(new JournalStandIn());
@@ -34,14 +37,14 @@
         front = open(new Program(config.replace("\"aimMs\"", deadline + "\"aimMs\""))).ready();
     }
 
-    private long endedAfterMs(long term) throws Exception {
-        assertTrue(front.process.waitFor(10, TimeUnit.SECONDS), "it does not end");
+    private long awaitExitMs(long sigtermNanos) throws Exception {
+        assertTrue(front.process.waitFor(10, TimeUnit.SECONDS), "the front does not exit");
         assertEquals(0, front.process.exitValue(), front.log::toString);
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - term);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sigtermNanos);
     }
 
-    /** Asks one query after another, each once the one before is answered; what was lost, or null. */
-    private String asksUntilTheEnd(Client client, int deadlineMs) {
+    /** Sends queries one at a time until the connection closes; returns what was lost, or null. */
+    private String requestUntilClosed(Client client, int deadlineMs) {
         long sentAt = 0;
         int id = 0;
         try {
@@ -52,41 +55,42 @@
                 if (!client.read().get(1).equals((long) id)) {
                     return "another's answer";
                 }
-                Thread.sleep(ASKS_EVERY_MS);
+                Thread.sleep(REQUEST_INTERVAL_MS);
             }
         } catch (IOException e) {
             long openFor = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
-            return openFor < CROSSING_MS ? null : "query " + id + " unanswered, " + openFor + " ms: " + e;
+            return openFor < CROSSING_REQUEST_MS ? null
+                    : "query " + id + " unanswered, " + openFor + " ms: " + e;
         } catch (InterruptedException e) {
             return "interrupted";
         }
     }
 
-    /** Each has its answer before SIGKILL, also what comes late on connections that stay open. */
+    /** Every query is answered before SIGKILL, also those sent late on connections that are still open. */
     @Example
-    void clientsThatAskUntilTheirConnectionsEndLoseNothing() throws Exception {
+    void clientsThatSendUntilTheirConnectionsCloseLoseNothing() throws Exception {
         for (int deadlineMs : DEADLINES_MS) {
             startWith(deadlineMs, engine(1));
-            List<CompletableFuture<String>> asked = new ArrayList<>();
+            List<CompletableFuture<String>> outcomes = new ArrayList<>();
             for (int k = 0; k < CLIENTS; k++) {
                 Client client = client();
-                asked.add(CompletableFuture.supplyAsync(() -> asksUntilTheEnd(client, deadlineMs)));
+                outcomes.add(CompletableFuture.supplyAsync(() -> requestUntilClosed(client, deadlineMs)));
             }
             Thread.sleep(300);
-            long term = System.nanoTime();
+            long sigtermNanos = System.nanoTime();
             front.signal("-TERM");
-            long ended = endedAfterMs(term);
-            for (CompletableFuture<String> each : asked) {
+            long exitMs = awaitExitMs(sigtermNanos);
+            for (CompletableFuture<String> each : outcomes) {
                 assertEquals(null, each.get(10, TimeUnit.SECONDS), "deadline " + deadlineMs);
             }
-            assertTrue(ended < deadlineMs + KILLED_AFTER_DEADLINE_MS, "deadline " + deadlineMs
-                    + ": ended after " + ended + " ms");
+            assertTrue(exitMs < deadlineMs + SIGKILL_AFTER_DEADLINE_MS, "deadline " + deadlineMs
+                    + ": ended after " + exitMs + " ms");
             closeAll();
         }
     }
 
-    /** The first turns of a front that has just started may take longer than such a deadline. */
-    private void asksUntilOneIsOut(EngineStandIn engine, int deadlineMs) throws Exception {
+    /** Sends queries until one reaches the engine: a front just started may be slower than the deadline. */
+    private void requestUntilOneIsSent(EngineStandIn engine, int deadlineMs) throws Exception {
         Client first = client();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Rig.PATIENCE_S);
         for (int id = 1; engine.seen("fetch").isEmpty(); id++) {
@@ -95,26 +99,26 @@
         }
     }
 
-    /** Engines hang through the whole of it, and clients neither read to the end nor close. */
+    /** The engine never answers, and clients neither read to the end of the stream nor close. */
     @Example
-    void theEndComesBeforeSigkillWhateverOthersDo() throws Exception {
+    void shutdownEndsBeforeSigkillWhateverOthersDo() throws Exception {
         for (int deadlineMs : DEADLINES_MS) {
             EngineStandIn silent = silentEngine();
             startWith(deadlineMs, silent);
-            asksUntilOneIsOut(silent, deadlineMs);
+            requestUntilOneIsSent(silent, deadlineMs);
             List<Client> clients = new ArrayList<>();
             for (int k = 0; k < CLIENTS; k++) {
                 clients.add(client().send(Client.query(1, Client.trace(), deadlineMs, "select")));
             }
-            long term = System.nanoTime();
+            long sigtermNanos = System.nanoTime();
             front.signal("-TERM");
             for (Client client : clients) {
                 assertEquals(1L, client.read().get(1));
             }
-            long ended = endedAfterMs(term);
-            System.out.println("deadline " + deadlineMs + " ms: ended " + ended + " ms after SIGTERM");
-            assertTrue(ended < deadlineMs + KILLED_AFTER_DEADLINE_MS, "deadline " + deadlineMs
-                    + ": ended after " + ended + " ms");
+            long exitMs = awaitExitMs(sigtermNanos);
+            System.out.println("deadline " + deadlineMs + " ms: ended " + exitMs + " ms after SIGTERM");
+            assertTrue(exitMs < deadlineMs + SIGKILL_AFTER_DEADLINE_MS, "deadline " + deadlineMs
+                    + ": ended after " + exitMs + " ms");
             closeAll();
         }
     }
--- a/src/test/java/reedspring/net/UsedTracesIT.java
+++ b/src/test/java/reedspring/net/UsedTracesIT.java
@@ -11,53 +11,53 @@
 import reedspring.rig.EngineStandIn;
 
 /**
- * A client that sends another client's trace with a statement of its own: engines know a query by its trace,
- * and must not be sent a statement under a trace whose client never sent it.
+ * A client sends another client's trace with a statement of its own. Engines identify a query by its trace,
+ * so the front must not send them a second statement under a trace that was already used.
  */
 class UsedTracesIT extends Started {
     private static final String OWN = "select 1";
     private static final String FOREIGN = "select 2";
 
-    private static List<String> statements(EngineStandIn engine) {
+    private static List<String> statementsSentTo(EngineStandIn engine) {
         return engine.seen("fetch").stream().map(command -> command.words().get(3)).toList();
     }
 
-    private void refused(String trace) throws Exception {
+    private void assertRefused(String trace) throws Exception {
         List<?> answer = client().send(Client.query(1, trace, PATIENCE, FOREIGN)).read();
         assertNotEquals(null, Client.error(answer), "served: " + answer);
-        assertNotEquals("Shed", Client.error(answer), "a retry under that trace helps nobody");
+        assertNotEquals("Shed", Client.error(answer), "a retry under that trace would be refused again");
     }
 
-    /** It is copied while the answer is still on its way to the client. */
+    /** The trace is reused right after the answer. */
     @Example
-    void theTraceOfAnAnsweredQueryNamesNoOther() throws Exception {
+    void theTraceOfAnAnsweredQueryCannotBeReused() throws Exception {
         EngineStandIn engine = engine(1);
         start(engine);
         String trace = Client.trace();
         assertTrue(Client.rows(client().send(Client.query(1, trace, PATIENCE, OWN)).read()) != null);
-        refused(trace);
-        assertEquals(List.of(OWN), statements(engine));
+        assertRefused(trace);
+        assertEquals(List.of(OWN), statementsSentTo(engine));
         serves();
     }
 
-    /** Its client has given up, and the engine is still at work on it. */
+    /** The client has revoked the query, but the engine still runs it. */
     @Example
-    void theTraceOfARevokedQueryThatStillRunsNamesNoOther() throws Exception {
+    void theTraceOfARevokedQueryThatStillRunsCannotBeReused() throws Exception {
         EngineStandIn silent = silentEngine();
         start(silent);
         String trace = Client.trace();
-        Client gives = client().send(Client.query(1, trace, PATIENCE, OWN));
+        Client client = client().send(Client.query(1, trace, PATIENCE, OWN));
         await("the query at the engine", () -> silent.seen("fetch").size() == 1);
-        gives.send(Client.pack(List.of(2, "revoke", List.of(1))));
-        // A heartbeat behind it shows that the revoke has been read.
-        gives.send(Client.pack(List.of(0, 2, "heartbeat", List.of(Client.fields("", 0))))).read();
-        refused(trace);
-        assertEquals(List.of(OWN), statements(silent));
+        client.send(Client.pack(List.of(2, "revoke", List.of(1))));
+        // The answer to a heartbeat sent afterwards shows that the revoke has been read.
+        client.send(Client.pack(List.of(0, 2, "heartbeat", List.of(Client.fields("", 0))))).read();
+        assertRefused(trace);
+        assertEquals(List.of(OWN), statementsSentTo(silent));
     }
 
-    /** A connection carries 32 open queries; one more is deferred unseen, and asked again otherwise. */
+    /** A connection may have 32 queries open; a further request is turned away, to be retried anew. */
     @Example
-    void theTraceOfAQueryThatWasTurnedAwayNamesNoOther() throws Exception {
+    void theTraceOfARequestThatWasTurnedAwayCannotBeReused() throws Exception {
         EngineStandIn silent = silentEngine();
         start(silent);
         Client client = client();
@@ -67,19 +67,19 @@
         String trace = Client.trace();
         List<?> turnedAway = client.send(Client.query(33, trace, PATIENCE, OWN)).read();
         assertEquals(List.of(33L, "Shed"), List.of(turnedAway.get(1), Client.error(turnedAway)));
-        refused(trace);
+        assertRefused(trace);
         assertTrue(silent.seen("fetch").stream().noneMatch(command -> command.id().equals(trace)));
     }
 
-    /** The same sixteen digits, written otherwise. */
+    /** The same 16 hex digits in upper case are the same trace. */
     @Example
-    void theCaseOfItsDigitsMakesNoOtherTrace() throws Exception {
+    void tracesAreComparedWithoutCase() throws Exception {
         EngineStandIn silent = silentEngine();
         start(silent);
         String trace = "00000000abcdef01";
         client().send(Client.query(1, trace, PATIENCE, OWN));
         await("the query at the engine", () -> silent.seen("fetch").size() == 1);
-        refused(trace.toUpperCase(java.util.Locale.ROOT));
-        assertEquals(List.of(OWN), statements(silent));
+        assertRefused(trace.toUpperCase(java.util.Locale.ROOT));
+        assertEquals(List.of(OWN), statementsSentTo(silent));
     }
 }
