--- a/src/test/java/reedspring/net/UsedTracesIT.java
+++ b/src/test/java/reedspring/net/UsedTracesIT.java
@@ -55,7 +55,7 @@
         assertEquals(List.of(OWN), statementsSentTo(silent));
     }
 
-    /** A connection may have 32 queries open; a further request is turned away, to be retried anew. */
+    /** A connection may have 32 queries open; the trace of a request turned away beyond that is used, too. */
     @Example
     void theTraceOfARequestThatWasTurnedAwayCannotBeReused() throws Exception {
         EngineStandIn silent = silentEngine();
