--- a/src/main/java/reedspring/net/AnswerDecoder.java
+++ b/src/main/java/reedspring/net/AnswerDecoder.java
@@ -16,135 +16,137 @@
 import java.util.Map;
 
 /**
- * Puts an engine's answer together from what Netty's RESP decoder reads. Netty's own aggregators have no
- * limit on sizes, and one engine must not fill the front.
+ * Assembles engine answers from the output of Netty's RESP decoder. Netty's own aggregators don't limit
+ * sizes, so with them one engine could exhaust the front's memory.
  */
 final class AnswerDecoder extends ChannelInboundHandlerAdapter {
-    private static final int PARTS = 4;
-    private static final int HEAD_BYTES = "*4\r\n".length();
-    private static final int FRAME_BYTES = "$\r\n\r\n".length();
+    private static final int ANSWER_PARTS = 4;
+    private static final int ARRAY_HEADER_BYTES = "*4\r\n".length();
+    private static final int BULK_STRING_OVERHEAD_BYTES = "$\r\n\r\n".length();
 
     private final Limits limits;
-    private final ByteBuf[] parts = new ByteBuf[PARTS];
-    private int wanted;
-    private int came;
-    private ByteBuf part = Unpooled.EMPTY_BUFFER;
-    private int partBytes;
+    private final ByteBuf[] parts = new ByteBuf[ANSWER_PARTS];
+    private int expectedParts;
+    private int receivedParts;
+    private ByteBuf partBuffer = Unpooled.EMPTY_BUFFER;
+    private int partLength;
     private int answerBytes;
-    private long bytes;
+    private long decodedBytes;
 
     AnswerDecoder(Limits limits) {
         this.limits = limits;
     }
 
-    /** The bytes of all that has come whole, as engines write it. */
-    long bytes() {
-        return bytes;
+    /** The encoded size of all complete answers so far, in bytes. */
+    long decodedBytes() {
+        return decodedBytes;
     }
 
-    /** The body is the receiver's to release. */
+    /** One complete answer. The receiver releases the body. */
     record Answer(String id, String word, Map<String, String> fields, ByteBuf body) {
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        boolean kept = false;
+        boolean handedOn = false;
         if (!ctx.channel().isOpen()) {
-            // What was read together with a malformed answer, behind it.
+            // Read in the same batch as a malformed answer, after it.
             ReferenceCountUtil.release(message);
             return;
         }
         try {
             if (message instanceof ArrayHeaderRedisMessage header) {
-                if (wanted != 0 || header.isNull() || header.length() != PARTS) {
-                    throw new CorruptedFrameException("an answer is an array of " + PARTS);
+                if (expectedParts != 0 || header.isNull() || header.length() != ANSWER_PARTS) {
+                    throw new CorruptedFrameException("an answer must be an array of " + ANSWER_PARTS);
                 }
-                wanted = PARTS;
-                answerBytes = HEAD_BYTES;
-            } else if (wanted == 0) {
-                throw new CorruptedFrameException("an answer begins with an array");
+                expectedParts = ANSWER_PARTS;
+                answerBytes = ARRAY_HEADER_BYTES;
+            } else if (expectedParts == 0) {
+                throw new CorruptedFrameException("an answer must begin with an array header");
             } else if (message instanceof BulkStringHeaderRedisMessage header) {
-                partBytes = header.bulkStringLength();
-                if (partBytes > (came == PARTS - 1 ? limits.pageBytes : limits.headBytes)) {
-                    throw new CorruptedFrameException("a string of " + partBytes + " bytes");
+                partLength = header.bulkStringLength();
+                if (partLength > (receivedParts == ANSWER_PARTS - 1 ? limits.pageBytes : limits.headBytes)) {
+                    throw new CorruptedFrameException(
+                            "bulk string of " + partLength + " bytes exceeds the limit");
                 }
             } else if (message instanceof FullBulkStringRedisMessage full) {
-                // Netty gives one for the empty and for the null string only.
+                // Netty emits a full bulk string only for the empty and the null string.
                 if (full.isNull()) {
-                    throw new CorruptedFrameException("a null string");
+                    throw new CorruptedFrameException("null bulk string in an answer");
                 }
-                end(ctx, Unpooled.EMPTY_BUFFER);
+                addPart(ctx, Unpooled.EMPTY_BUFFER);
             } else if (message instanceof BulkStringRedisContent content) {
                 boolean last = content instanceof LastBulkStringRedisContent;
-                if (last && !part.isReadable()) {
-                    kept = true;
-                    end(ctx, content.content());
+                if (last && !partBuffer.isReadable()) {
+                    handedOn = true;
+                    addPart(ctx, content.content());
                 } else {
-                    if (part == Unpooled.EMPTY_BUFFER) {
-                        part = ctx.alloc().buffer(partBytes);
+                    if (partBuffer == Unpooled.EMPTY_BUFFER) {
+                        partBuffer = ctx.alloc().buffer(partLength);
                     }
-                    part.writeBytes(content.content());
+                    partBuffer.writeBytes(content.content());
                     if (last) {
-                        ByteBuf whole = part;
-                        part = Unpooled.EMPTY_BUFFER;
-                        end(ctx, whole);
+                        ByteBuf completePart = partBuffer;
+                        partBuffer = Unpooled.EMPTY_BUFFER;
+                        addPart(ctx, completePart);
                     }
                 }
             } else {
-                throw new CorruptedFrameException("an answer holds bulk strings only");
+                throw new CorruptedFrameException("an answer may contain only bulk strings");
             }
         } finally {
-            if (!kept) {
+            if (!handedOn) {
                 ReferenceCountUtil.release(message);
             }
         }
     }
 
-    private void end(ChannelHandlerContext ctx, ByteBuf whole) {
-        parts[came++] = whole;
-        answerBytes += FRAME_BYTES + Integer.toString(whole.readableBytes()).length() + whole.readableBytes();
-        if (came < wanted) {
+    private void addPart(ChannelHandlerContext ctx, ByteBuf part) {
+        parts[receivedParts++] = part;
+        answerBytes += BULK_STRING_OVERHEAD_BYTES + Integer.toString(part.readableBytes()).length()
+                + part.readableBytes();
+        if (receivedParts < expectedParts) {
             return;
         }
-        wanted = 0;
-        came = 0;
-        bytes += answerBytes;
-        Answer answer = new Answer(text(0), text(1), fields(text(2)), parts[3]);
+        expectedParts = 0;
+        receivedParts = 0;
+        decodedBytes += answerBytes;
+        Answer answer = new Answer(takeText(0), takeText(1), parseFields(takeText(2)), parts[3]);
         parts[3] = null;
         ctx.fireChannelRead(answer);
     }
 
-    private String text(int at) {
-        String text = parts[at].toString(StandardCharsets.UTF_8);
-        parts[at].release();
-        parts[at] = null;
+    private String takeText(int index) {
+        String text = parts[index].toString(StandardCharsets.UTF_8);
+        parts[index].release();
+        parts[index] = null;
         return text;
     }
 
-    private static Map<String, String> fields(String text) {
+    private static Map<String, String> parseFields(String text) {
         Map<String, String> fields = new HashMap<>();
-        for (int from = 0; from < text.length() && !text.equals("-"); ) {
-            int comma = text.indexOf(',', from);
-            int to = comma < 0 ? text.length() : comma;
-            int equals = text.indexOf('=', from);
-            if (equals > from && equals < to) {
-                fields.put(text.substring(from, equals), text.substring(equals + 1, to));
+        for (int start = 0; start < text.length() && !text.equals("-"); ) {
+            int comma = text.indexOf(',', start);
+            int end = comma < 0 ? text.length() : comma;
+            int equals = text.indexOf('=', start);
+            if (equals > start && equals < end) {
+                fields.put(text.substring(start, equals), text.substring(equals + 1, end));
             }
-            from = to + 1;
+            start = end + 1;
         }
         return fields;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        for (int k = 0; k < PARTS; k++) {
+        for (int k = 0; k < ANSWER_PARTS; k++) {
             if (parts[k] != null) {
                 parts[k].release();
                 parts[k] = null;
             }
         }
-        part.release();
-        part = Unpooled.EMPTY_BUFFER;
+        partBuffer.release();
+        partBuffer = Unpooled.EMPTY_BUFFER;
         ctx.fireChannelInactive();
     }
 }
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -30,110 +30,119 @@
 import java.util.function.Consumer;
 import reedspring.api.Event.Outcome;
 
-/** One connection to an engine: many submissions, answers in any order, pages fetched as they are wanted. */
+/**
+ * A connection to one engine. It carries several submissions at a time; their answers come in any order, and
+ * the pages of a result after the first are requested one by one.
+ */
 final class EngineConnection extends ChannelInboundHandlerAdapter {
-    private static final Set<String> LAST_WORDS = Set.of("data", "full", "failed", "moot");
+    private static final Set<String> FINAL_ANSWER_KINDS = Set.of("data", "full", "failed", "moot");
 
     private final Front front;
     private final Limits limits;
     private final String engine;
     private final BooleanSupplier engineUp;
-    private final Consumer<EngineConnection> ended;
-    private final Map<String, Submission> open = new LinkedHashMap<>();
-    /** Queries that have still something to come here from a submission that is over, the latest of them. */
-    private final Set<String> spent = new LinkedHashSet<>();
-    /** Those of them that the engine may still be at work on. */
-    private final Set<String> running = new LinkedHashSet<>();
+    private final Consumer<EngineConnection> onClosed;
+    private final Map<String, Submission> openSubmissions = new LinkedHashMap<>();
+    /** Traces of queries whose closed submissions may still get answers on this connection; bounded. */
+    private final Set<String> lateTraces = new LinkedHashSet<>();
+    /** The late traces whose queries the engine may still be running. */
+    private final Set<String> runningTraces = new LinkedHashSet<>();
     private final AnswerDecoder decoder;
-    private final Rows rows;
-    private final SocketReads reads = new SocketReads();
+    private final Rows rowValidator;
+    private final SocketReads socketReads = new SocketReads();
     private Channel channel;
-    private long partBytes;
-    private int partTicks;
-    private boolean up;
-    private boolean rested;
+    private long decodedAtLastTick;
+    private int stalledTicks;
+    private boolean connected;
+    private boolean everSent;
     private boolean retired;
-    private String lost = "closed by the engine";
+    private String closeReason = "closed by the engine";
     private long lastUsedAt;
-    private long heardAt;
-    private long askedAt = -1;
+    private long lastReceivedAt;
+    private long probeSentAt = -1;
 
-    EngineConnection(Front front, Limits limits, Rows rows, String engine, BooleanSupplier engineUp,
-                     Consumer<EngineConnection> ended) {
+    EngineConnection(Front front, Limits limits, Rows rowValidator, String engine, BooleanSupplier engineUp,
+                     Consumer<EngineConnection> onClosed) {
         this.front = front;
         this.limits = limits;
-        this.rows = rows;
+        this.rowValidator = rowValidator;
         this.engine = engine;
         this.engineUp = engineUp;
-        this.ended = ended;
+        this.onClosed = onClosed;
         this.decoder = new AnswerDecoder(limits);
         this.lastUsedAt = front.clock().now();
     }
 
     void dial(Bootstrap dialer, InetSocketAddress address) {
         EngineConnection self = this;
-        ChannelFuture dialled = dialer.clone().handler(new ChannelInitializer<>() {
+        ChannelFuture connecting = dialer.clone().handler(new ChannelInitializer<>() {
             @Override
-            protected void initChannel(Channel made) {
-                made.pipeline().addLast(reads, new FlushConsolidationHandler(limits.flushes, true),
+            protected void initChannel(Channel created) {
+                created.pipeline().addLast(socketReads, new FlushConsolidationHandler(limits.flushes, true),
                         new WholeCommandEncoder(), new RedisDecoder(), decoder, self);
             }
         }).connect(address);
-        channel = dialled.channel();
-        // Among the front's own alarms: Netty's would ring before the socket is looked at, after a stop of
-        // this process, and an engine that took the connection in time would count as unreachable.
-        Timers.Due tooLate = front.timers().in(limits.connectTimeout * 10L, () -> {
-            lost = "no connection in " + limits.connectTimeout + " ms";
+        channel = connecting.channel();
+        // Uses the front's own timers: after a pause of this process, Netty's connect timeout would fire
+        // before the socket is looked at, and an engine that accepted in time would count as unreachable.
+        Timers.Due connectTimer = front.timers().in(limits.connectTimeout * 10L, () -> {
+            closeReason = "not connected within " + limits.connectTimeout + " ms";
             Front.close(channel);
         });
-        front.dialled(dialled, done -> {
-            front.timers().cancel(tooLate);
-            if (done.isSuccess()) {
-                up = true;
-                open.values().forEach(front::departs);
+        front.dialled(connecting, future -> {
+            front.timers().cancel(connectTimer);
+            if (future.isSuccess()) {
+                connected = true;
+                openSubmissions.values().forEach(front::departs);
             } else {
-                end(Outcome.UNREACHABLE, "engine unreachable", done.cause() instanceof ClosedChannelException
-                        ? lost : String.valueOf(done.cause().getMessage()));
+                closeSubmissions(Outcome.UNREACHABLE, "engine unreachable",
+                        future.cause() instanceof ClosedChannelException
+                                ? closeReason : String.valueOf(future.cause().getMessage()));
             }
         });
     }
 
+    /** The number of open submissions. */
     int load() {
-        return open.size();
+        return openSubmissions.size();
     }
 
-    /** Whether nothing is out on it nor still to come, so that its end costs no query anything. */
-    boolean rests() {
-        return up && open.isEmpty() && running.isEmpty();
+    /** Whether no submission is open and no late answer is expected, so that closing affects no query. */
+    boolean isIdle() {
+        return connected && openSubmissions.isEmpty() && runningTraces.isEmpty();
     }
 
     long lastUsedAt() {
         return lastUsedAt;
     }
 
-    boolean takes(Submission s) {
-        // What is still to come here of an earlier submission could not be told from this one's: an answer
-        // has only the query's id, and pages of two runs must not end up in one result.
-        return !retired && open.size() < limits.connectionQueries && !open.containsKey(s.query.trace)
-                && !spent.contains(s.query.trace)
-                && (channel == null || !up || channel.isWritable());
+    /** Whether the submission may be sent on this connection. */
+    boolean accepts(Submission s) {
+        // Answers carry only the query's id: late answers to an earlier submission of the same query could
+        // not be told from those to this one, and pages of two runs must not be mixed in one result.
+        return !retired && openSubmissions.size() < limits.connectionQueries
+                && !openSubmissions.containsKey(s.query.trace)
+                && !lateTraces.contains(s.query.trace)
+                && (channel == null || !connected || channel.isWritable());
     }
 
     /**
-     * Asked and without an answer for as long as a new connection would have to come up. What was sent before
-     * a cut arrives only with the kernel's next try, long after its end; what is sent later waits behind it.
+     * Whether a liveness probe has gone unanswered for as long as a new connection may take to open. After a
+     * network interruption, unacknowledged data arrives only with TCP's next retransmission, well after the
+     * network has recovered, and later data queues behind it.
      */
-    boolean doubtful() {
-        return askedAt >= 0 && front.clock().now() - askedAt >= limits.connectTimeout * 10L;
+    boolean isUnresponsive() {
+        return probeSentAt >= 0 && front.clock().now() - probeSentAt >= limits.connectTimeout * 10L;
     }
 
+    /** Adds the submission and hands it over for sending, at once or when the connection opens. */
     void send(Submission s) {
         s.connection = this;
-        open.put(s.query.trace, s);
-        if (open.size() == 1) {
-            heardAt = front.clock().now();
+        openSubmissions.put(s.query.trace, s);
+        if (openSubmissions.size() == 1) {
+            lastReceivedAt = front.clock().now();
         }
-        if (up) {
+        if (connected) {
             front.departs(s);
         }
     }
@@ -142,136 +151,144 @@
         return engine;
     }
 
-    /** Whether its engine may still be given anything, by the news as they stand. */
+    /** Whether the engine may be sent submissions, by the list of engines as it stands. */
     boolean departable() {
         return !retired && engineUp.getAsBoolean();
     }
 
     /**
-     * Whether it still stands, by what lies in its socket now. Engines close what rests, some of them early;
-     * a submission that is written after that has an unclear end, and a mutating query can't be sent again.
-     * One that has carried nothing yet is no resting one: an engine that closes each new connection is
-     * unreachable.
+     * Reads the socket and tells whether the connection is still open. Engines close idle connections, some
+     * of them early; a submission written after that has an unknown outcome, and a mutating query can't be
+     * sent again. A connection that has not carried anything yet is not checked: an engine that closes every
+     * new connection counts as unreachable.
      */
     boolean there() {
-        if (open.size() > 1 || !rested) {
+        if (openSubmissions.size() > 1 || !everSent) {
             return true;
         }
-        reads.readAll(channel);
+        socketReads.readAll(channel);
         retired |= !channel.isOpen();
         return channel.isOpen();
     }
 
-    /** It goes by another connection. */
+    /** Removes a submission that is to be sent on another connection. */
     void release(Submission s) {
-        open.remove(s.query.trace, s);
+        openSubmissions.remove(s.query.trace, s);
         s.connection = null;
     }
 
     /**
-     * Writes it out at once: what waits for others could stand here while the process is stopped.
+     * Writes the submission and flushes at once: data left for a later flush would be delayed if the process
+     * were paused in between.
      *
-     * @return false if there was no memory for its command; nothing of it was written then
+     * @return false if there was no memory for the command; no part of it has been written then
      */
     boolean depart(Submission s) {
         OpenQuery q = s.query;
         lastUsedAt = front.clock().now();
-        rested = true;
+        everSent = true;
         s.sentAt = lastUsedAt;
         q.firstSentAt = q.firstSentAt == 0 ? lastUsedAt : q.firstSentAt;
-        long left = Math.max(1, (s.timeoutAt - lastUsedAt) / 10);
-        String fields = "lane=" + q.group + ",ttl=" + left + (q.priority >= 0 ? ",urgency=" + q.priority : "")
+        long remainingMs = Math.max(1, (s.timeoutAt - lastUsedAt) / 10);
+        String fields = "lane=" + q.group + ",ttl=" + remainingMs
+                + (q.priority >= 0 ? ",urgency=" + q.priority : "")
                 + (q.mark != null ? ",dedupe=" + q.mark : "");
-        if (!written(q.statement, "fetch", q.trace, fields)) {
+        if (!writeCommand(q.statement, "fetch", q.trace, fields)) {
             return false;
         }
         s.written = true;
-        // Past the handler that gathers flushes until the turn's end.
+        // Bypasses the handler that delays flushes.
         channel.pipeline().context(FlushConsolidationHandler.class).flush();
         return true;
     }
 
+    /** Sends the query's current priority. */
     void renice(Submission s) {
         if (s.written) {
-            command("renice", s.query.trace, Integer.toString(s.query.priority));
+            sendCommand("renice", s.query.trace, Integer.toString(s.query.priority));
         }
     }
 
+    /** Asks the engine to cancel the submission. */
     void cancel(Submission s) {
         if (s.written) {
-            command("abort", s.query.trace);
+            sendCommand("abort", s.query.trace);
         }
     }
 
-    /** What comes for the submission later is dropped. */
+    /** Forgets the submission; answers to it that come later are dropped. */
     void drop(Submission s) {
-        if (open.remove(s.query.trace, s)) {
-            if (s.sheets > 1 && up) {
-                command("done", s.query.trace);
+        if (openSubmissions.remove(s.query.trace, s)) {
+            if (s.sheets > 1 && connected) {
+                sendCommand("done", s.query.trace);
             }
             if (s.written && (s.pages == null || s.missing > 0)) {
-                keepLatest(spent, s.query.trace);
+                addBounded(lateTraces, s.query.trace);
                 if (s.pages == null) {
-                    keepLatest(running, s.query.trace);
+                    addBounded(runningTraces, s.query.trace);
                 }
             }
         }
-        if (retired && open.isEmpty()) {
+        if (retired && openSubmissions.isEmpty()) {
             close();
         }
     }
 
-    private void keepLatest(Set<String> traces, String trace) {
+    private void addBounded(Set<String> traces, String trace) {
         traces.add(trace);
         if (traces.size() > limits.queries) {
             traces.remove(traces.iterator().next());
         }
     }
 
-    /** Takes nothing new; what is out on it may still end well. */
+    /** Accepts no more submissions; open ones may still finish. */
     void retire() {
         retired = true;
-        if (open.isEmpty()) {
+        if (openSubmissions.isEmpty()) {
             close();
         }
     }
 
     void tick(long now) {
-        // Before the engine closes it for idleness: a submission that crossed that would have an unclear end.
-        // Not while the engine may be at work for it, as closing would cancel that.
-        if (open.isEmpty() && running.isEmpty() && now - lastUsedAt >= limits.engineIdle * 10L) {
+        // Closes before the engine's own idle timeout: a submission that crossed the engine's close would
+        // have an unknown outcome. Not while the engine may still run a query of this connection, which
+        // closing would cancel.
+        if (openSubmissions.isEmpty() && runningTraces.isEmpty()
+                && now - lastUsedAt >= limits.engineIdle * 10L) {
             close();
         }
-        if (up) {
-            lookPastSelector();
+        if (connected) {
+            recoverMissedReadiness();
         }
-        if (up && stopsShort()) {
+        if (connected && answerStalled()) {
             front.log().line("engine connection closed, an answer does not end", engine);
             close();
         }
-        if (up && !open.isEmpty() && askedAt < 0 && now - heardAt >= limits.engineSilence * 10L) {
-            askedAt = now;
-            command("alive", "front");
+        if (connected && !openSubmissions.isEmpty() && probeSentAt < 0
+                && now - lastReceivedAt >= limits.engineSilence * 10L) {
+            probeSentAt = now;
+            sendCommand("alive", "front");
         }
     }
 
-    /** Sees to a connection that the selector does not know, or does not know to be waited for. */
-    private void lookPastSelector() {
-        if (!open.isEmpty() && reads.findsUntold(channel, front.clock().now())
+    /** Registers the channel again if the selector misses it, or misses that it has data to read or write. */
+    private void recoverMissedReadiness() {
+        if (!openSubmissions.isEmpty() && socketReads.findsUntold(channel, front.clock().now())
                 || SocketReads.sendsUntold(channel)) {
             front.registersAnew(channel);
         }
     }
 
     /**
-     * Whether an answer stands begun and unfinished for some looks: all that comes behind it would be taken
-     * for its rest, so nothing that is out here can end any more.
+     * Whether an answer has stayed incomplete for several ticks. Everything that follows would be read as its
+     * remainder, so no submission on this connection could finish any more.
      */
-    private boolean stopsShort() {
-        boolean same = reads.bytes() != decoder.bytes() && partBytes == decoder.bytes();
-        partBytes = decoder.bytes();
-        partTicks = same ? partTicks + 1 : 0;
-        return partTicks > limits.partTicks;
+    private boolean answerStalled() {
+        boolean unchanged = socketReads.bytes() != decoder.decodedBytes()
+                && decodedAtLastTick == decoder.decodedBytes();
+        decodedAtLastTick = decoder.decodedBytes();
+        stalledTicks = unchanged ? stalledTicks + 1 : 0;
+        return stalledTicks > limits.partTicks;
     }
 
     private void close() {
@@ -281,20 +298,20 @@
         }
     }
 
-    private void command(String... words) {
-        if (written(null, words)) {
+    private void sendCommand(String... words) {
+        if (writeCommand(null, words)) {
             channel.flush();
         }
     }
 
     /**
-     * Hands a command to the socket; false if nothing of it was written, as there was no memory for it or the
-     * connection had gone.
+     * Writes a command without flushing. Returns false if nothing was written, because memory was lacking or
+     * the connection had closed.
      */
-    private boolean written(ByteBuf body, String... words) {
+    private boolean writeCommand(ByteBuf body, String... words) {
         Throwable failure;
         try {
-            failure = channel.write(message(body, words)).cause();
+            failure = channel.write(buildCommand(body, words)).cause();
         } catch (OutOfMemoryError e) {
             failure = e;
         }
@@ -304,8 +321,8 @@
         return failure == null;
     }
 
-    /** A command of these words, and of a body that stays its owner's, or null. */
-    private ArrayRedisMessage message(ByteBuf body, String... words) {
+    /** Builds a command from words and an optional body; the caller keeps its reference to the body. */
+    private ArrayRedisMessage buildCommand(ByteBuf body, String... words) {
         List<RedisMessage> parts = new ArrayList<>(words.length + 1);
         try {
             for (String word : words) {
@@ -330,168 +347,170 @@
                 return;
             }
             lastUsedAt = front.clock().now();
-            heardAt = lastUsedAt;
-            askedAt = -1;
-            Submission s = open.get(answer.id());
+            lastReceivedAt = lastUsedAt;
+            probeSentAt = -1;
+            Submission s = openSubmissions.get(answer.id());
             if (s != null) {
-                s.query.heardAt = heardAt;
+                s.query.heardAt = lastReceivedAt;
             }
-            boolean late = spent.contains(answer.id());
+            boolean late = lateTraces.contains(answer.id());
             if (answer.fields().get("rep") != null) {
                 front.reported(engine, answer.fields().get("rep"));
             }
-            if (s == null && LAST_WORDS.contains(answer.word()) && running.remove(answer.id())) {
-                spent.remove(answer.id());
+            if (s == null && FINAL_ANSWER_KINDS.contains(answer.word())
+                    && runningTraces.remove(answer.id())) {
+                lateTraces.remove(answer.id());
             }
             switch (answer.word()) {
-                case "data" -> data(s, answer, late);
-                case "page" -> page(s, answer);
-                case "full" -> over(s, Outcome.TURNED_AWAY);
-                case "failed" -> over(s, Outcome.ERROR);
-                case "moot" -> over(s, Outcome.NOT_SENT);
+                case "data" -> onData(s, answer, late);
+                case "page" -> onPage(s, answer);
+                case "full" -> closeByAnswer(s, Outcome.TURNED_AWAY);
+                case "failed" -> closeByAnswer(s, Outcome.ERROR);
+                case "moot" -> closeByAnswer(s, Outcome.NOT_SENT);
                 case "news" -> {
                     if (s != null && "done".equals(answer.fields().get("why"))) {
-                        front.progress(s, figure(answer, "val", 0));
+                        front.progress(s, numericField(answer, "val", 0));
                     }
                 }
                 case "well" -> {
-                    // tells only that the connection works
+                    // the reply to a liveness probe
                 }
-                default -> throw new CorruptedFrameException("an answer of an unknown kind");
+                default -> throw new CorruptedFrameException("unknown kind of answer");
             }
         } finally {
             answer.body().release();
         }
     }
 
-    private void over(Submission s, Outcome outcome) {
+    private void closeByAnswer(Submission s, Outcome outcome) {
         if (s != null) {
             if (s.pages == null) {
-                // The engine's last word, but perhaps not the only copy of it. A second one would pass for
-                // the end of the query's next submission, and prove that what runs never ran.
-                open.remove(s.query.trace, s);
-                keepLatest(spent, s.query.trace);
+                // The engine may send its final answer twice. The duplicate would be taken for the end of the
+                // query's next submission, and a query that runs would count as never run.
+                openSubmissions.remove(s.query.trace, s);
+                addBounded(lateTraces, s.query.trace);
             }
             front.closed(s, outcome);
         }
     }
 
-    /** Wanted for the spool, as far as it has room. */
+    /** Requests a page of a result that goes to the spool. */
     void more(Submission s, int page) {
-        command("more", s.query.trace, Integer.toString(page));
+        sendCommand("more", s.query.trace, Integer.toString(page));
     }
 
-    private void data(Submission s, AnswerDecoder.Answer answer, boolean late) {
-        double sheets = figure(answer, "sheets", 1);
-        boolean keeps = s != null && s.pages == null && s.query.paged && sheets > 1
-                && sheets == Math.rint(sheets)
-                && sheets <= Integer.MAX_VALUE;
-        if (!(sheets >= 1 && (keeps || sheets <= limits.pages))) {
-            throw new CorruptedFrameException("a result of " + sheets + " pages");
+    private void onData(Submission s, AnswerDecoder.Answer answer, boolean late) {
+        double pageCount = numericField(answer, "sheets", 1);
+        boolean spoolable = s != null && s.pages == null && s.query.paged && pageCount > 1
+                && pageCount == Math.rint(pageCount)
+                && pageCount <= Integer.MAX_VALUE;
+        if (!(pageCount >= 1 && (spoolable || pageCount <= limits.pages))) {
+            throw new CorruptedFrameException("invalid page count " + pageCount + " of a result");
         }
         if (s == null || s.pages != null) {
-            // An engine that sends and does not read gets no more than its buffer holds.
-            if (s == null && sheets > 1 && late && channel.isWritable()) {
-                command("done", answer.id());
+            // Writes nothing more to an engine that sends without reading once the write buffer is full.
+            if (s == null && pageCount > 1 && late && channel.isWritable()) {
+                sendCommand("done", answer.id());
             }
             return;
         }
-        s.sheets = (int) sheets;
+        s.sheets = (int) pageCount;
         s.missing = s.sheets;
         front.seenEnd(s);
-        s.work = Math.round(Math.max(0, figure(answer, "toil", 0)) * 10);
-        if (keeps && !s.query.answered()) {
+        s.work = Math.round(Math.max(0, numericField(answer, "toil", 0)) * 10);
+        if (spoolable && !s.query.answered()) {
             s.pages = new ByteBuf[1];
-            s.came = new BitSet();
-            keep(s, 0, answer.body());
+            s.receivedPages = new BitSet();
+            storePage(s, 0, answer.body());
             front.kept().begin(s);
             return;
         }
         s.pages = new ByteBuf[s.sheets];
-        keep(s, 0, answer.body());
+        storePage(s, 0, answer.body());
         if (s.over) {
             return;
         }
         if (s.query.answered()) {
-            // Nobody waits for the other pages; the work is done all the same.
+            // The query has been answered already: the other pages are not needed, but the run counts.
             front.closed(s, Outcome.FINISHED);
             return;
         }
         if (s.pages.length > 1 && front.full() && !s.query.client.reads()) {
-            front.log().line("result given up, answers at their limit", engine);
+            front.log().line("result discarded, answer buffers at their limit", engine);
             front.closed(s, Outcome.FINISHED);
             return;
         }
         for (int k = 1; k < s.pages.length; k++) {
-            command("more", answer.id(), Integer.toString(k));
+            sendCommand("more", answer.id(), Integer.toString(k));
         }
     }
 
-    private void page(Submission s, AnswerDecoder.Answer answer) {
+    private void onPage(Submission s, AnswerDecoder.Answer answer) {
         if (s == null) {
             return;
         }
-        double sheet = figure(answer, "sheet", -1);
-        if (s.pages == null || !(sheet >= 0 && sheet < s.sheets) || sheet != Math.rint(sheet)) {
-            throw new CorruptedFrameException("a page that the result does not have");
+        double pageIndex = numericField(answer, "sheet", -1);
+        if (s.pages == null || !(pageIndex >= 0 && pageIndex < s.sheets)
+                || pageIndex != Math.rint(pageIndex)) {
+            throw new CorruptedFrameException("page number outside the result");
         }
-        if (s.came != null) {
-            if (!s.came.get((int) sheet)) {
-                if (!rows.whole(answer.body())) {
-                    throw new CorruptedFrameException("a page that is no whole rows");
+        if (s.receivedPages != null) {
+            if (!s.receivedPages.get((int) pageIndex)) {
+                if (!rowValidator.hasWholeRows(answer.body())) {
+                    throw new CorruptedFrameException("page does not consist of whole rows");
                 }
-                s.came.set((int) sheet);
+                s.receivedPages.set((int) pageIndex);
                 s.missing--;
-                front.kept().came(s, (int) sheet, answer.body());
+                front.kept().came(s, (int) pageIndex, answer.body());
             }
             return;
         }
-        keep(s, (int) sheet, answer.body());
+        storePage(s, (int) pageIndex, answer.body());
     }
 
-    private void keep(Submission s, int at, ByteBuf page) {
-        if (s.pages[at] != null) {
+    private void storePage(Submission s, int pageIndex, ByteBuf page) {
+        if (s.pages[pageIndex] != null) {
             return;
         }
-        if (!rows.whole(page)) {
-            throw new CorruptedFrameException("a page that is no whole rows");
+        if (!rowValidator.hasWholeRows(page)) {
+            throw new CorruptedFrameException("page does not consist of whole rows");
         }
-        s.pages[at] = page.retain();
+        s.pages[pageIndex] = page.retain();
         s.bytes += page.readableBytes();
         front.hold(page.readableBytes());
-        if (s.came != null) {
-            s.came.set(at);
+        if (s.receivedPages != null) {
+            s.receivedPages.set(pageIndex);
             s.missing--;
         } else if (s.bytes > limits.answerBytes) {
-            front.log().line("engine result over the limit", engine);
+            front.log().line("engine result exceeds the size limit", engine);
             front.closed(s, Outcome.ERROR);
         } else if (--s.missing == 0) {
             front.closed(s, Outcome.FINISHED);
         }
     }
 
-    private static double figure(AnswerDecoder.Answer answer, String field, double otherwise) {
+    private static double numericField(AnswerDecoder.Answer answer, String field, double defaultValue) {
         String value = answer.fields().get(field);
         try {
-            double figure = value == null ? otherwise : Double.parseDouble(value);
-            if (Math.abs(figure) < 1e12) {
-                return figure;
+            double number = value == null ? defaultValue : Double.parseDouble(value);
+            if (Math.abs(number) < 1e12) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // malformed, as is a figure that no engine could mean
+            // reported below, like numbers outside the plausible range
         }
-        throw new CorruptedFrameException(field + " is no figure");
+        throw new CorruptedFrameException(field + " is not a valid number");
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end(Outcome.BROKEN, "engine connection lost", lost);
+        closeSubmissions(Outcome.BROKEN, "engine connection lost", closeReason);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
-            lost = String.valueOf(cause.getMessage());
+            closeReason = String.valueOf(cause.getMessage());
         } else if (cause instanceof DecoderException) {
             front.log().line("engine connection closed, malformed answer", engine + " " + cause.getMessage());
         } else {
@@ -500,14 +519,14 @@
         ctx.close();
     }
 
-    private void end(Outcome outcome, String kind, String detail) {
-        up = false;
+    private void closeSubmissions(Outcome outcome, String logText, String detail) {
+        connected = false;
         retired = true;
-        ended.accept(this);
-        if (!open.isEmpty()) {
-            front.log().line(kind, engine + " " + detail);
+        onClosed.accept(this);
+        if (!openSubmissions.isEmpty()) {
+            front.log().line(logText, engine + " " + detail);
         }
-        for (Submission s : List.copyOf(open.values())) {
+        for (Submission s : List.copyOf(openSubmissions.values())) {
             front.closed(s, s.written ? Outcome.BROKEN : outcome == Outcome.BROKEN ? Outcome.UNREACHABLE
                     : outcome);
         }
--- a/src/main/java/reedspring/net/Engines.java
+++ b/src/main/java/reedspring/net/Engines.java
@@ -14,33 +14,33 @@
 import reedspring.api.Event;
 import reedspring.api.Id;
 
-/** The connections to all engines, a few to each. */
+/** Connection pools to all listed engines, with a few connections to each. */
 final class Engines implements SubmissionRunner {
     private final Limits limits;
     private final Front front;
-    private final Rows rows;
+    private final Rows rowValidator;
     private final Bootstrap dialer;
-    private final Map<Id.Engine, Link> links = new LinkedHashMap<>();
-    /** Those of them that have connections: as few as there may be connections, however many are listed. */
-    private final Set<Link> connected = new LinkedHashSet<>();
-    /** Named as gone, and kept until their last connection has ended. */
-    private final Set<Id.Engine> leaving = new LinkedHashSet<>();
-    private int connections;
-    private long lists;
+    private final Map<Id.Engine, EnginePool> pools = new LinkedHashMap<>();
+    /** Pools with at least one connection: bounded by the connection limit, not by the number of engines. */
+    private final Set<EnginePool> connectedPools = new LinkedHashSet<>();
+    /** Engines no longer listed, kept until their last connection has closed. */
+    private final Set<Id.Engine> removedEngines = new LinkedHashSet<>();
+    private int connectionCount;
+    private long listCount;
 
-    /** One engine's connections. Those to an address or a process that it has no more carry nothing new. */
-    private static final class Link {
+    /** One engine's connections. Connections to its previous address or process accept no submissions. */
+    private static final class EnginePool {
         private Host host;
         private boolean up;
         private boolean gone;
-        private long namedIn;
+        private long lastListedIn;
         private final List<EngineConnection> connections = new ArrayList<>(0);
     }
 
     Engines(EventLoop loop, Limits limits, Front front) {
         this.limits = limits;
         this.front = front;
-        this.rows = new Rows(limits.pageBytes);
+        this.rowValidator = new Rows(limits.pageBytes);
         this.dialer = new Bootstrap().group(loop).channelFactory(FrontSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
                 .option(ChannelOption.TCP_NODELAY, true);
@@ -48,121 +48,124 @@
 
     @Override
     public void listed(Event.Reading reading, List<Host> hosts) {
-        lists++;
+        listCount++;
         for (Host host : hosts) {
             Id.Engine id = host.listing().engine();
-            Link link = links.computeIfAbsent(id, k -> new Link());
-            Host before = link.host;
-            link.host = host;
-            link.namedIn = lists;
-            link.up = host.listing().health() == Event.Health.UP;
-            link.gone = host.listing().health() == Event.Health.GONE;
-            if (link.gone) {
-                leaving.add(id);
+            EnginePool pool = pools.computeIfAbsent(id, k -> new EnginePool());
+            Host previous = pool.host;
+            pool.host = host;
+            pool.lastListedIn = listCount;
+            pool.up = host.listing().health() == Event.Health.UP;
+            pool.gone = host.listing().health() == Event.Health.GONE;
+            if (pool.gone) {
+                removedEngines.add(id);
             }
-            if (before != null && (!before.address().equals(host.address())
-                    || before.listing().startedAt() != host.listing().startedAt())) {
-                List.copyOf(link.connections).forEach(EngineConnection::retire);
+            if (previous != null && (!previous.address().equals(host.address())
+                    || previous.listing().startedAt() != host.listing().startedAt())) {
+                List.copyOf(pool.connections).forEach(EngineConnection::retire);
             }
         }
         if (reading != Event.Reading.CHANGES) {
-            links.forEach((id, link) -> {
-                if (link.namedIn != lists) {
-                    link.up = false;
-                    link.gone = true;
-                    leaving.add(id);
+            pools.forEach((id, pool) -> {
+                if (pool.lastListedIn != listCount) {
+                    pool.up = false;
+                    pool.gone = true;
+                    removedEngines.add(id);
                 }
             });
         }
-        List.copyOf(connected).stream().filter(link -> link.gone)
-                .forEach(link -> List.copyOf(link.connections).forEach(EngineConnection::retire));
+        List.copyOf(connectedPools).stream().filter(pool -> pool.gone)
+                .forEach(pool -> List.copyOf(pool.connections).forEach(EngineConnection::retire));
     }
 
     @Override
     public void send(Id.Engine engine, Submission s) {
-        Link link = links.get(engine);
-        if (link == null) {
+        EnginePool pool = pools.get(engine);
+        if (pool == null) {
             front.closed(s, Event.Outcome.UNREACHABLE);
             return;
         }
-        List<EngineConnection> open = link.connections.stream().filter(c -> c.takes(s)).toList();
-        // One spoilt answer ends all that is out on its connection, so each carries little. One for each
-        // submission would cost a starting front more than it saves.
-        EngineConnection best = open.stream().filter(c -> !c.doubtful())
+        List<EngineConnection> usable = pool.connections.stream().filter(c -> c.accepts(s)).toList();
+        // A malformed answer closes its connection and fails every submission on it, so few submissions share
+        // one connection. One connection per submission would cost a starting front more than it saves.
+        EngineConnection leastLoaded = usable.stream().filter(c -> !c.isUnresponsive())
                 .min(Comparator.comparingInt(EngineConnection::load)).orElse(null);
-        boolean fits = link.connections.size() < limits.engineConnections;
-        if (best != null && (best.load() < limits.sharedBy || !fits
-                || connections >= limits.allEngineConnections)) {
-            best.send(s);
+        boolean belowEngineLimit = pool.connections.size() < limits.engineConnections;
+        if (leastLoaded != null && (leastLoaded.load() < limits.sharedBy || !belowEngineLimit
+                || connectionCount >= limits.allEngineConnections)) {
+            leastLoaded.send(s);
             return;
         }
-        if (best == null && !(fits && room())) {
+        if (leastLoaded == null && !(belowEngineLimit && makeRoom())) {
             front.log().line("engine connections at their limit", engine.address());
-            if (open.isEmpty()) {
+            if (usable.isEmpty()) {
                 front.closed(s, Event.Outcome.UNREACHABLE);
             } else {
-                open.get(0).send(s);
+                usable.get(0).send(s);
             }
             return;
         }
-        InetSocketAddress address = link.host.address();
-        EngineConnection connection = new EngineConnection(front, limits, rows, engine.address(),
-                () -> link.up, ended -> ended(link, ended));
-        link.connections.add(connection);
-        connected.add(link);
-        connections++;
+        InetSocketAddress address = pool.host.address();
+        EngineConnection connection = new EngineConnection(front, limits, rowValidator, engine.address(),
+                () -> pool.up, ended -> onConnectionEnded(pool, ended));
+        pool.connections.add(connection);
+        connectedPools.add(pool);
+        connectionCount++;
         connection.send(s);
         connection.dial(dialer, address);
     }
 
-    private void ended(Link link, EngineConnection connection) {
-        if (link.connections.remove(connection)) {
-            connections--;
+    private void onConnectionEnded(EnginePool pool, EngineConnection connection) {
+        if (pool.connections.remove(connection)) {
+            connectionCount--;
         }
-        if (link.connections.isEmpty()) {
-            connected.remove(link);
+        if (pool.connections.isEmpty()) {
+            connectedPools.remove(pool);
         }
     }
 
     /**
-     * Room for one more connection. Where engines are many, those that rest hold all places, and what has no
-     * connection yet would count as unreachable: the one that has rested longest ends for it.
+     * Makes room for one more connection, if necessary by closing the connection that has been idle longest.
+     * With many engines, idle connections would otherwise use up the limit, and engines without a connection
+     * would count as unreachable.
+     *
+     * @return false if the limit is reached and no connection is idle
      */
-    private boolean room() {
-        if (connections < limits.allEngineConnections) {
+    private boolean makeRoom() {
+        if (connectionCount < limits.allEngineConnections) {
             return true;
         }
-        Link eldest = null;
-        EngineConnection rested = null;
-        for (Link link : connected) {
-            for (EngineConnection connection : link.connections) {
-                if (connection.rests() && (rested == null
-                        || connection.lastUsedAt() < rested.lastUsedAt())) {
-                    eldest = link;
-                    rested = connection;
+        EnginePool idlestPool = null;
+        EngineConnection idlest = null;
+        for (EnginePool pool : connectedPools) {
+            for (EngineConnection connection : pool.connections) {
+                if (connection.isIdle() && (idlest == null
+                        || connection.lastUsedAt() < idlest.lastUsedAt())) {
+                    idlestPool = pool;
+                    idlest = connection;
                 }
             }
         }
-        if (rested != null) {
-            rested.retire();
-            ended(eldest, rested);
+        if (idlest != null) {
+            idlest.retire();
+            onConnectionEnded(idlestPool, idlest);
         }
-        return rested != null;
+        return idlest != null;
     }
 
     @Override
     public void tick(long now) {
-        for (Link link : List.copyOf(connected)) {
-            for (EngineConnection connection : List.copyOf(link.connections)) {
+        for (EnginePool pool : List.copyOf(connectedPools)) {
+            for (EngineConnection connection : List.copyOf(pool.connections)) {
                 connection.tick(now);
             }
         }
-        leaving.removeIf(id -> {
-            Link link = links.get(id);
-            if (link.gone && link.connections.isEmpty()) {
-                links.remove(id);
+        removedEngines.removeIf(id -> {
+            EnginePool pool = pools.get(id);
+            if (pool.gone && pool.connections.isEmpty()) {
+                pools.remove(id);
             }
-            return !link.gone || link.connections.isEmpty();
+            return !pool.gone || pool.connections.isEmpty();
         });
     }
 }
--- a/src/main/java/reedspring/net/EventStream.java
+++ b/src/main/java/reedspring/net/EventStream.java
@@ -5,144 +5,147 @@
 import java.util.Arrays;
 
 /**
- * Reads server-sent events from bytes that come in any pieces. What is held of an event is held once: a list
- * of all engines is megabytes.
+ * Parses server-sent events from byte chunks of any size. Event data is buffered only once, because a list of
+ * all engines takes megabytes.
  */
 final class EventStream {
-    private static final int FIRST = 1 << 10;
-    /** An event's buffer past this is not kept for the next. */
-    private static final int KEPT = 1 << 16;
-    private static final byte[] NONE = {};
+    private static final int INITIAL_BUFFER_BYTES = 1 << 10;
+    /** A larger buffer is not reused for the next event. */
+    private static final int MAX_RETAINED_BUFFER_BYTES = 1 << 16;
+    private static final byte[] EMPTY = {};
 
-    private final int most;
-    private final int part;
-    private final Reader reader;
-    /** The event's data so far, and behind it the line that has begun. */
-    private byte[] held = NONE;
-    private int data;
-    private int end;
+    private final int maxEventBytes;
+    private final int progressBytes;
+    private final Reader listener;
+    /** The data of the current event, followed by the current incomplete line. */
+    private byte[] buffer = EMPTY;
+    private int dataEnd;
+    private int bufferEnd;
     private String id = "";
     private boolean hasData;
-    private boolean afterReturn;
-    private long sinceSign;
-    /** Bytes of an event that is too long, 0 if this one is not. */
-    private long tooLong;
+    private boolean afterCarriageReturn;
+    private long bytesSinceProgress;
+    /** The size so far of an event that is too long, 0 if the current event is not. */
+    private long oversizedBytes;
 
     interface Reader {
-        /** The bytes may change once it returns. */
+        /** Called for each event with data. The array may be overwritten after the call. */
         void read(String id, byte[] data, int length);
 
-        /** An event that was let go by, as it has more bytes than the most that is held of one. */
+        /** Called for an event that was dropped because it exceeds the maximum size. */
         void tooLong(String id, long bytes);
     }
 
     /**
-     * @param most bytes that are held of an event
-     * @param part so many bytes of one line are a sign of life, as a whole line is
+     * @param maxEventBytes maximum size of an event
+     * @param progressBytes this many bytes of an incomplete line count as progress, as a whole line does
      */
-    EventStream(int most, int part, Reader reader) {
-        this.most = most;
-        this.part = part;
-        this.reader = reader;
+    EventStream(int maxEventBytes, int progressBytes, Reader listener) {
+        this.maxEventBytes = maxEventBytes;
+        this.progressBytes = progressBytes;
+        this.listener = listener;
     }
 
-    /** Whether a line has ended, be it of an event or a comment, or a good part of a long one has come. */
-    boolean feed(ByteBuf in) {
-        boolean sign = false;
-        while (in.isReadable()) {
-            if (afterReturn && in.getByte(in.readerIndex()) == '\n') {
-                in.skipBytes(1);
-                afterReturn = false;
+    /**
+     * Parses a chunk. Returns whether there was progress: the end of a line, of an event or a comment, or a
+     * large enough part of a long line.
+     */
+    boolean feed(ByteBuf input) {
+        boolean progress = false;
+        while (input.isReadable()) {
+            if (afterCarriageReturn && input.getByte(input.readerIndex()) == '\n') {
+                input.skipBytes(1);
+                afterCarriageReturn = false;
                 continue;
             }
-            afterReturn = false;
-            int length = in.forEachByte(c -> c != '\n' && c != '\r') - in.readerIndex();
-            hold(in, length < 0 ? in.readableBytes() : length);
+            afterCarriageReturn = false;
+            int length = input.forEachByte(c -> c != '\n' && c != '\r') - input.readerIndex();
+            append(input, length < 0 ? input.readableBytes() : length);
             if (length >= 0) {
-                afterReturn = in.readByte() == '\r';
-                sign = true;
-                sinceSign = 0;
-                line();
+                afterCarriageReturn = input.readByte() == '\r';
+                progress = true;
+                bytesSinceProgress = 0;
+                endLine();
             }
         }
-        if (sinceSign >= part) {
-            // A list of all engines may take longer than the service is silent otherwise.
-            sinceSign = 0;
-            sign = true;
+        if (bytesSinceProgress >= progressBytes) {
+            // A list of all engines may take longer to arrive than the silence timeout.
+            bytesSinceProgress = 0;
+            progress = true;
         }
-        return sign;
+        return progress;
     }
 
-    private void hold(ByteBuf in, int length) {
-        sinceSign += length;
-        if (tooLong > 0 || end + length > most) {
-            // Of its lines only this stays known: whether they are empty, as such a one ends the event.
-            tooLong += tooLong > 0 ? length : end + length;
-            end = Math.min(1, end - data + length);
-            data = 0;
-            held = NONE;
-            in.skipBytes(length);
+    private void append(ByteBuf input, int length) {
+        bytesSinceProgress += length;
+        if (oversizedBytes > 0 || bufferEnd + length > maxEventBytes) {
+            // Keeps only whether the current line is empty, because an empty line ends the event.
+            oversizedBytes += oversizedBytes > 0 ? length : bufferEnd + length;
+            bufferEnd = Math.min(1, bufferEnd - dataEnd + length);
+            dataEnd = 0;
+            buffer = EMPTY;
+            input.skipBytes(length);
             return;
         }
-        if (end + length > held.length) {
-            int size = Math.min(most, Math.max(FIRST, 2 * held.length));
-            held = Arrays.copyOf(held, Math.max(end + length, size));
+        if (bufferEnd + length > buffer.length) {
+            int size = Math.min(maxEventBytes, Math.max(INITIAL_BUFFER_BYTES, 2 * buffer.length));
+            buffer = Arrays.copyOf(buffer, Math.max(bufferEnd + length, size));
         }
-        in.readBytes(held, end, length);
-        end += length;
+        input.readBytes(buffer, bufferEnd, length);
+        bufferEnd += length;
     }
 
-    private void line() {
-        int length = end - data;
-        end = data;
+    private void endLine() {
+        int length = bufferEnd - dataEnd;
+        bufferEnd = dataEnd;
         if (length == 0) {
             dispatch();
-        } else if (tooLong == 0) {
-            field(length);
+        } else if (oversizedBytes == 0) {
+            parseField(length);
         }
     }
 
     private void dispatch() {
-        boolean whole = hasData;
-        int size = data;
-        data = 0;
-        end = 0;
+        boolean complete = hasData;
+        int size = dataEnd;
+        dataEnd = 0;
+        bufferEnd = 0;
         hasData = false;
-        if (tooLong > 0) {
-            long bytes = tooLong;
-            tooLong = 0;
-            reader.tooLong(id, bytes);
-        } else if (whole) {
-            byte[] read = held;
-            held = read.length > KEPT ? NONE : read;
-            reader.read(id, read, size);
+        if (oversizedBytes > 0) {
+            long bytes = oversizedBytes;
+            oversizedBytes = 0;
+            listener.tooLong(id, bytes);
+        } else if (complete) {
+            byte[] event = buffer;
+            buffer = event.length > MAX_RETAINED_BUFFER_BYTES ? EMPTY : event;
+            listener.read(id, event, size);
         }
     }
 
-    /** A line of so many bytes that begins where the data ends. */
-    private void field(int length) {
+    /** Parses a line of the given length, which starts where the data ends. */
+    private void parseField(int length) {
         int colon = 0;
-        while (colon < length && held[data + colon] != ':') {
+        while (colon < length && buffer[dataEnd + colon] != ':') {
             colon++;
         }
-        String name = new String(held, data, colon, StandardCharsets.UTF_8);
-        int from = Math.min(length, colon + 1);
-        from += from < length && held[data + from] == ' ' ? 1 : 0;
+        String name = new String(buffer, dataEnd, colon, StandardCharsets.UTF_8);
+        int valueStart = Math.min(length, colon + 1);
+        valueStart += valueStart < length && buffer[dataEnd + valueStart] == ' ' ? 1 : 0;
         if (name.equals("data")) {
-            int to = data;
-            int size = length - from;
+            int target = dataEnd;
+            int size = length - valueStart;
             if (hasData) {
-                // A line of data has more bytes than the line feed between two.
-                System.arraycopy(held, data + from, held, data + 1, size);
-                held[to++] = '\n';
+                // The line feed fits: the "data" prefix of the line was longer.
+                System.arraycopy(buffer, dataEnd + valueStart, buffer, dataEnd + 1, size);
+                buffer[target++] = '\n';
             } else {
-                System.arraycopy(held, data + from, held, data, size);
+                System.arraycopy(buffer, dataEnd + valueStart, buffer, dataEnd, size);
             }
-            data = to + size;
-            end = data;
+            dataEnd = target + size;
+            bufferEnd = dataEnd;
             hasData = true;
         } else if (name.equals("id")) {
-            id = new String(held, data + from, length - from, StandardCharsets.UTF_8);
+            id = new String(buffer, dataEnd + valueStart, length - valueStart, StandardCharsets.UTF_8);
         }
     }
 }
--- a/src/main/java/reedspring/net/Host.java
+++ b/src/main/java/reedspring/net/Host.java
@@ -4,8 +4,8 @@
 import reedspring.api.Event;
 
 /**
- * An engine as the journal names it. Its name is its id: an address can be another's later.
- * {@code bornMs} is its start as the service words it, by the system's clock.
+ * An engine as the journal lists it. It is identified by its name, as an address may pass to another engine.
+ * {@code startedAtUnixMs} is the start time from the journal, by the system clock.
  */
-record Host(Event.Listing listing, InetSocketAddress address, long bornMs) {
+record Host(Event.Listing listing, InetSocketAddress address, long startedAtUnixMs) {
 }
--- a/src/main/java/reedspring/net/HostRow.java
+++ b/src/main/java/reedspring/net/HostRow.java
@@ -7,27 +7,27 @@
 import reedspring.api.Id;
 import reedspring.boot.BootException;
 
-/** An engine as a list names it, before it is known when that was by this process's clock. */
+/** An engine as parsed from a list, before its start time is converted to this process's clock. */
 record HostRow(Id.Engine engine, Id.Kind kind, Id.Zone zone, Id.Cell cell, Health health,
-               InetSocketAddress address, long bornMs) {
+               InetSocketAddress address, long startedAtUnixMs) {
 
-    /** Reads the rows of one list. What thousands of them share is held once. */
-    static final class Reader implements Json.Element {
+    /** Reads the rows of one list. Kinds, zones and cells are shared between rows to save memory. */
+    static final class Reader implements Json.ElementMapper {
         private final Map<String, Id.Kind> kinds = new HashMap<>();
         private final Map<String, Id.Zone> zones = new HashMap<>();
         private final Map<Long, Id.Cell> cells = new HashMap<>();
-        private final int most;
+        private final int maxRows;
         private int rows;
 
-        /** @param most rows that are read; the rest is counted */
-        Reader(int most) {
-            this.most = most;
+        /** @param maxRows rows to read; further rows are only counted */
+        Reader(int maxRows) {
+            this.maxRows = maxRows;
         }
 
-        /** Null for one too many. */
+        /** Returns null for rows past the maximum. */
         @Override
-        public HostRow of(Map<?, ?> host) throws BootException {
-            if (++rows > most) {
+        public HostRow map(Map<?, ?> host) throws BootException {
+            if (++rows > maxRows) {
                 return null;
             }
             return new HostRow(new Id.Engine(Json.text(host, "host")),
@@ -39,7 +39,7 @@
                     Json.whole(host, "born_ms", 0));
         }
 
-        /** Of all that were read, also past the most. */
+        /** The number of rows seen, including those past the maximum. */
         int rows() {
             return rows;
         }
@@ -48,12 +48,12 @@
             return host.get(field) instanceof String text ? text : "";
         }
 
-        private static Health health(String word) throws BootException {
-            return switch (word) {
+        private static Health health(String state) throws BootException {
+            return switch (state) {
                 case "ready" -> Health.UP;
                 case "draining" -> Health.DRAINING;
                 case "gone" -> Health.GONE;
-                default -> throw new BootException("health", "'" + word + "' is no state of an engine");
+                default -> throw new BootException("health", "'" + state + "' is not an engine state");
             };
         }
     }
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -34,183 +34,185 @@
 import reedspring.core.policy.EngineStartTime;
 
 /**
- * Follows the list of engines: what the configuration knows first, then the journal service's events by their
- * numbers. Whatever happens to the stream, the list held so far stays.
+ * Follows the list of engines: first the list in the configuration, then the numbered events of the journal
+ * service. The current list stays in effect whatever happens to the event stream.
  */
 final class Journal {
-    /** That are heard at a time, each with a descriptor of its own. */
-    private static final int MOST_CALLS = 3;
-    private static final long NEVER_HEARD = 0;
+    /** Subscriptions open at the same time; each uses a file descriptor. */
+    private static final int MAX_SUBSCRIPTIONS = 3;
+    private static final long NEVER_RECEIVED = 0;
 
     private final Front front;
     private final Limits limits;
-    private InetSocketAddress service;
+    private InetSocketAddress serviceAddress;
     private final Bootstrap dialer;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private Map<Id.Engine, Host> held = new LinkedHashMap<>();
-    /** Those that are heard, the newest last. There are several only while none of them says anything. */
-    private final Deque<Call> calls = new ArrayDeque<>();
+    /** Open subscriptions, the newest last. There are several only while none of them has sent anything. */
+    private final Deque<Subscription> subscriptions = new ArrayDeque<>();
+    /** The number of the last event applied. */
     private long position;
-    private long wait;
-    private Timers.Due nextCall;
-    private boolean gapSeen;
-    /** Of the last event that could not be read. */
-    private String malformedId = "";
-
-    Journal(EventLoop loop, Front front, Limits limits, InetSocketAddress service, long seed) {
+    private long reconnectDelayMs;
+    private Timers.Due reconnectTimer;
+    /** Whether the events missing now have been requested again already. */
+    private boolean gapRetried;
+    /** The id of the last event that could not be parsed. */
+    private String lastMalformedId = "";
+
+    Journal(EventLoop loop, Front front, Limits limits, InetSocketAddress serviceAddress, long seed) {
         this.front = front;
         this.limits = limits;
-        this.service = service;
-        this.chance = new SplittableRandom(seed);
-        this.wait = limits.journalFirstWait;
+        this.serviceAddress = serviceAddress;
+        this.random = new SplittableRandom(seed);
+        this.reconnectDelayMs = limits.journalFirstWait;
         this.dialer = new Bootstrap().group(loop).channelFactory(FrontSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
     }
 
-    /** Reads all that lies in the sockets now, ahead of the selector's turn. Not while that is being done. */
+    /** Reads all pending data from the sockets without waiting for the selector; not reentrant. */
     void readNow() {
-        List.copyOf(calls).forEach(Call::readNow);
+        List.copyOf(subscriptions).forEach(Subscription::readNow);
     }
 
-    /** Hands over the list that the configuration holds. */
-    void known(Map<?, ?> known) throws BootException {
-        for (Object entry : Json.list(known.get("entries"), "known.entries")) {
+    /** Loads the list of engines from the configuration. */
+    void known(Map<?, ?> configured) throws BootException {
+        for (Object entry : Json.list(configured.get("entries"), "known.entries")) {
             Map<?, ?> event = Json.map(entry, "known.entries");
             if (event.get("hosts") != null) {
                 Map<?, ?> list = Json.map(event.get("hosts"), "known.entries.hosts");
-                take(whole(list), hosts(list, NEVER_HEARD));
+                applyList(isComplete(list), hosts(list, NEVER_RECEIVED));
             }
         }
-        position = Json.whole(known, "pos", 0);
+        position = Json.whole(configured, "pos", 0);
         if (position > 0 || !held.isEmpty()) {
             front.listed(Reading.REMEMBERED, List.copyOf(held.values()));
         }
     }
 
-    /** Another address for the same numbering. What the old calls still tell is not heard. */
-    void move(InetSocketAddress to) {
-        service = to;
-        wait = limits.journalFirstWait;
-        List<Call> old = List.copyOf(calls);
-        calls.clear();
-        old.forEach(Call::close);
+    /** Moves to another address of the same journal. Events still arriving from the old one are dropped. */
+    void move(InetSocketAddress address) {
+        serviceAddress = address;
+        reconnectDelayMs = limits.journalFirstWait;
+        List<Subscription> previous = List.copyOf(subscriptions);
+        subscriptions.clear();
+        previous.forEach(Subscription::close);
         follow();
     }
 
     /**
-     * Calls the service. Calls that were made before and have said nothing are heard on until one of them
-     * speaks: a service that takes longer to answer than this front waits would else be given up each time.
+     * Opens a subscription. Earlier ones that have not sent anything stay open until one of them does: a
+     * service that responds later than this front's timeout would otherwise be dropped on every try.
      */
     void follow() {
-        front.timers().cancel(nextCall);
-        nextCall = null;
-        if (calls.size() >= MOST_CALLS) {
-            calls.removeFirst().close();
+        front.timers().cancel(reconnectTimer);
+        reconnectTimer = null;
+        if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
+            subscriptions.removeFirst().close();
         }
-        Call call = new Call();
-        calls.addLast(call);
-        call.dial();
+        Subscription subscription = new Subscription();
+        subscriptions.addLast(subscription);
+        subscription.dial();
     }
 
-    /** Calls again in a moment. Half of it is chance, so that fronts don't come back together. */
-    private void followLater() {
-        if (nextCall == null) {
-            long tenths = wait * 5 + chance.nextLong(wait * 5 + 1);
-            wait = Math.min(limits.journalLongestWait, wait * 2);
-            nextCall = front.timers().in(tenths, this::follow);
+    /** Reconnects after a delay. Half of it is random, so that fronts don't reconnect all at once. */
+    private void reconnectLater() {
+        if (reconnectTimer == null) {
+            long delay = reconnectDelayMs * 5 + random.nextLong(reconnectDelayMs * 5 + 1);
+            reconnectDelayMs = Math.min(limits.journalLongestWait, reconnectDelayMs * 2);
+            reconnectTimer = front.timers().in(delay, this::follow);
         }
     }
 
-    /** One call, from its dial to its end. */
-    private final class Call extends ChannelInboundHandlerAdapter {
-        private final SocketReads reads = new SocketReads();
+    /** One subscription to the journal's event stream, from connecting to closing. */
+    private final class Subscription extends ChannelInboundHandlerAdapter {
+        private final SocketReads socketReads = new SocketReads();
         private final EventStream events = new EventStream(limits.journalBytes, limits.journalPart,
                 new EventStream.Reader() {
                     @Override
                     public void read(String id, byte[] data, int length) {
-                        event(id, data, length);
+                        onEvent(id, data, length);
                     }
 
                     @Override
                     public void tooLong(String id, long bytes) {
-                        notTaken("journal event too long, not taken", bytes, limits.journalBytes);
+                        skipOversized("journal event too long, ignored", bytes, limits.journalBytes);
                     }
                 });
         private Channel channel;
-        private long heardAt;
+        private long lastReceivedAt;
         private boolean connected;
-        private boolean answered;
+        private boolean accepted;
         private boolean reading;
 
         private void dial() {
-            heardAt = front.clock().now();
-            ChannelFuture dialled = dialer.clone().handler(new ChannelInitializer<>() {
+            lastReceivedAt = front.clock().now();
+            ChannelFuture connecting = dialer.clone().handler(new ChannelInitializer<>() {
                 @Override
-                protected void initChannel(Channel made) {
-                    made.pipeline().addLast(reads, new HttpClientCodec(), Call.this);
+                protected void initChannel(Channel created) {
+                    created.pipeline().addLast(socketReads, new HttpClientCodec(), Subscription.this);
                 }
-            }).connect(service);
-            channel = dialled.channel();
-            channel.closeFuture().addListener(closed -> ended());
-            front.dialled(dialled, this::dialled);
-            watch();
+            }).connect(serviceAddress);
+            channel = connecting.channel();
+            channel.closeFuture().addListener(closed -> onClosed());
+            front.dialled(connecting, this::onDialled);
+            scheduleSilenceCheck();
         }
 
-        private void dialled(ChannelFuture done) {
-            if (!done.isSuccess()) {
-                if (calls.contains(this)) {
-                    front.log().line("journal unreachable", String.valueOf(done.cause().getMessage()));
+        private void onDialled(ChannelFuture future) {
+            if (!future.isSuccess()) {
+                if (subscriptions.contains(this)) {
+                    front.log().line("journal unreachable", String.valueOf(future.cause().getMessage()));
                 }
-                ended();
+                onClosed();
                 return;
             }
             connected = true;
-            DefaultFullHttpRequest get =
+            DefaultFullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/journal");
-            get.headers().set(HttpHeaderNames.HOST,
-                    service.getAddress().getHostAddress() + ":" + service.getPort())
+            request.headers().set(HttpHeaderNames.HOST,
+                    serviceAddress.getAddress().getHostAddress() + ":" + serviceAddress.getPort())
                     .set(HttpHeaderNames.ACCEPT, "text/event-stream")
                     .set("Last-Event-ID", Long.toString(position));
-            channel.writeAndFlush(get);
+            channel.writeAndFlush(request);
         }
 
         /**
-         * Among the front's own alarms, as for engines: a stop of this process is no silence of the
-         * service.
+         * Uses the front's own timers, as for engines: a pause of this process must not count as silence of
+         * the service.
          */
-        private void watch() {
-            long patience = (connected ? limits.journalSilence : limits.journalConnect) * 10L;
-            front.timers().at(heardAt + patience, () -> {
-                if (!calls.contains(this)) {
+        private void scheduleSilenceCheck() {
+            long timeout = (connected ? limits.journalSilence : limits.journalConnect) * 10L;
+            front.timers().at(lastReceivedAt + timeout, () -> {
+                if (!subscriptions.contains(this)) {
                     return;
                 }
-                long silent = front.clock().now() - heardAt;
-                if (silent < (connected ? limits.journalSilence : limits.journalConnect) * 10L) {
-                    watch();
-                } else if (calls.peekLast() == this) {
-                    front.log().line("journal silent, called again", "");
-                    followLater();
+                long silentFor = front.clock().now() - lastReceivedAt;
+                if (silentFor < (connected ? limits.journalSilence : limits.journalConnect) * 10L) {
+                    scheduleSilenceCheck();
+                } else if (subscriptions.peekLast() == this) {
+                    front.log().line("journal silent, reconnecting", "");
+                    reconnectLater();
                 }
             });
         }
 
-        /** It has told something: the others are needed no more. */
-        private void speaks() {
-            boolean watched = calls.peekLast() == this && nextCall == null;
-            heardAt = front.clock().now();
-            List<Call> others = calls.stream().filter(call -> call != this).toList();
-            calls.removeAll(others);
-            others.forEach(Call::close);
-            front.timers().cancel(nextCall);
-            nextCall = null;
-            if (!watched) {
-                watch();
+        /** Called when this subscription has received something: the others are closed. */
+        private void onActivity() {
+            boolean checkScheduled = subscriptions.peekLast() == this && reconnectTimer == null;
+            lastReceivedAt = front.clock().now();
+            List<Subscription> others = subscriptions.stream().filter(other -> other != this).toList();
+            subscriptions.removeAll(others);
+            others.forEach(Subscription::close);
+            front.timers().cancel(reconnectTimer);
+            reconnectTimer = null;
+            if (!checkScheduled) {
+                scheduleSilenceCheck();
             }
         }
 
         private void readNow() {
             if (!reading && channel.isActive()) {
-                reads.readAll(channel);
+                socketReads.readAll(channel);
             }
         }
 
@@ -218,41 +220,41 @@
             Front.close(channel);
         }
 
-        /** Called again, unless another call may still be answered. */
-        private void ended() {
-            boolean newest = calls.peekLast() == this;
-            if (calls.remove(this) && newest) {
-                followLater();
+        /** Reconnects, unless a newer subscription is still open. */
+        private void onClosed() {
+            boolean newest = subscriptions.peekLast() == this;
+            if (subscriptions.remove(this) && newest) {
+                reconnectLater();
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             front.probe().is("journal event");
-            if (!calls.contains(this) || !channel.isOpen()) {
-                // After a move, or after an event that could not be used.
+            if (!subscriptions.contains(this) || !channel.isOpen()) {
+                // Closed after a change of address or after an event that could not be used.
                 ReferenceCountUtil.release(message);
                 return;
             }
             reading = true;
             try {
                 if (message instanceof HttpObject part && part.decoderResult().isFailure()) {
-                    front.log().line("journal answer malformed", part.decoderResult().toString());
+                    front.log().line("journal response malformed", part.decoderResult().toString());
                     ctx.close();
                     return;
                 }
                 if (message instanceof HttpResponse response) {
-                    answered = response.status().code() == 200;
-                    if (!answered) {
-                        front.log().line("journal refused", response.status().toString());
+                    accepted = response.status().code() == 200;
+                    if (!accepted) {
+                        front.log().line("journal refused the subscription", response.status().toString());
                         ctx.close();
                         return;
                     }
                 }
-                if (message instanceof HttpContent content && answered && events.feed(content.content())
-                        && calls.contains(this)) {
-                    // Only a whole line is a sign of life: bytes that trickle tell nothing.
-                    speaks();
+                if (message instanceof HttpContent content && accepted && events.feed(content.content())
+                        && subscriptions.contains(this)) {
+                    // Single bytes are no activity: it takes a whole line or a large part of a long one.
+                    onActivity();
                 }
                 if (message instanceof LastHttpContent) {
                     ctx.close();
@@ -263,26 +265,26 @@
             }
         }
 
-        private void event(String id, byte[] data, int length) {
+        private void onEvent(String id, byte[] data, int length) {
             if (!channel.isOpen()) {
                 return;
             }
             try {
-                if (Journal.this.read(id, data, length, heardAt)) {
-                    wait = limits.journalFirstWait;
+                if (Journal.this.handleEvent(id, data, length, lastReceivedAt)) {
+                    reconnectDelayMs = limits.journalFirstWait;
                 } else {
                     channel.close();
                 }
             } catch (IOException | BootException e) {
-                malformed(id, e.getMessage());
+                onMalformedEvent(id, e.getMessage());
                 channel.close();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (answered && calls.contains(this)) {
-                front.log().line("journal stream ended, called again", "");
+            if (accepted && subscriptions.contains(this)) {
+                front.log().line("journal stream ended, reconnecting", "");
             }
         }
 
@@ -298,74 +300,75 @@
     }
 
     /**
-     * False if events before it are missing and it has to be called again from the last one read.
+     * Applies one event. Returns false if events before it are missing and the stream has to be requested
+     * again from the last event read.
      *
-     * @param lastHeard when the call that brings it last said anything before
+     * @param lastReceived when the subscription had last received anything before this event
      */
-    private boolean read(String id, byte[] data, int length, long lastHeard) throws IOException,
+    private boolean handleEvent(String id, byte[] data, int length, long lastReceived) throws IOException,
             BootException {
         HostRow.Reader rows = new HostRow.Reader(limits.engines);
         Map<?, ?> event = Json.map(Json.read(data, length, "hosts.hosts", rows), "event");
-        long number = id.isEmpty() ? Json.whole(event, "pos", 0) : Json.whole(Map.of("id", id), "id", 0);
-        if (number <= position) {
+        long eventNumber = id.isEmpty() ? Json.whole(event, "pos", 0) : Json.whole(Map.of("id", id), "id", 0);
+        if (eventNumber <= position) {
             return true;
         }
         if (rows.rows() > limits.engines) {
-            notTaken("journal list of too many engines, not taken", rows.rows(), limits.engines);
+            skipOversized("journal list of too many engines, ignored", rows.rows(), limits.engines);
             return true;
         }
         Map<?, ?> list = event.get("hosts") == null ? null : Json.map(event.get("hosts"), "hosts");
-        boolean whole = list != null && whole(list);
-        if (number > position + 1 && !whole) {
-            front.log().line("journal events missing", position + " to " + number);
-            if (!gapSeen) {
-                gapSeen = true;
+        boolean complete = list != null && isComplete(list);
+        if (eventNumber > position + 1 && !complete) {
+            front.log().line("journal events missing", position + " to " + eventNumber);
+            if (!gapRetried) {
+                gapRetried = true;
                 return false;
             }
-            // Called again, and still not told: a late list is better than none.
+            // Still missing after a second request: an incomplete list is better than an outdated one.
         }
-        Map<Id.Engine, Host> hosts = list == null ? Map.of() : hosts(list, lastHeard);
-        gapSeen = false;
-        position = number;
+        Map<Id.Engine, Host> hosts = list == null ? Map.of() : hosts(list, lastReceived);
+        gapRetried = false;
+        position = eventNumber;
         if (list != null) {
-            take(whole, hosts);
-            front.listed(whole ? Reading.COMPLETE : Reading.CHANGES, List.copyOf(hosts.values()));
+            applyList(complete, hosts);
+            front.listed(complete ? Reading.COMPLETE : Reading.CHANGES, List.copyOf(hosts.values()));
         }
         return true;
     }
 
-    /** Called again; one that comes malformed again is passed over, or nothing behind it would be heard. */
-    private void malformed(String id, String why) {
-        boolean again = !id.isEmpty() && id.equals(malformedId);
-        malformedId = id;
-        if (!again) {
-            front.log().line("journal event malformed, called again", why);
+    /** Requests the event again. One that is malformed twice is skipped, or it would block all later ones. */
+    private void onMalformedEvent(String id, String reason) {
+        boolean repeated = !id.isEmpty() && id.equals(lastMalformedId);
+        lastMalformedId = id;
+        if (!repeated) {
+            front.log().line("journal event malformed, reconnecting", reason);
             return;
         }
-        front.log().line("journal event malformed again, passed over", why);
+        front.log().line("journal event malformed again, skipped", reason);
         try {
             position = Math.max(position, Long.parseLong(id));
         } catch (NumberFormatException e) {
-            // An event without a number can't be asked past.
+            // An event without a number can't be skipped.
         }
     }
 
-    /** The list held so far stays. A call from before the event would bring the same again. */
-    private void notTaken(String what, long size, long most) {
-        front.log().line(what, size + " of " + most);
-        gapSeen = true;
+    /** Keeps the current list. Requesting the event again would only return the same event. */
+    private void skipOversized(String logText, long size, long limit) {
+        front.log().line(logText, size + " of " + limit);
+        gapRetried = true;
     }
 
-    /** Names are new with each engine; what is kept of one goes with it, also if it goes without a word. */
-    private void take(boolean whole, Map<Id.Engine, Host> hosts) {
-        if (whole) {
+    /** Updates the list; engines absent from a complete list are removed. Engine names are never reused. */
+    private void applyList(boolean complete, Map<Id.Engine, Host> hosts) {
+        if (complete) {
             held = new LinkedHashMap<>();
         }
         if (held.size() + hosts.size() > limits.engines) {
-            leaveOut(hosts);
+            dropExcess(hosts);
         }
         hosts.forEach((id, host) -> {
-            if (gone(host)) {
+            if (isGone(host)) {
                 held.remove(id);
             } else {
                 held.put(id, host);
@@ -373,55 +376,56 @@
         });
     }
 
-    /** The number of the last event read. */
+    /** The number of the last event applied or skipped. */
     long position() {
         return position;
     }
 
-    /** Of how many engines something is kept here. */
+    /** The number of engines in the list. */
     int held() {
         return held.size();
     }
 
-    private static boolean whole(Map<?, ?> list) {
+    private static boolean isComplete(Map<?, ?> list) {
         return "true".equals(list.get("whole"));
     }
 
-    /** Of those that are not held yet, what is past the limit. */
-    private void leaveOut(Map<Id.Engine, Host> hosts) {
-        int before = hosts.size();
+    /** Drops engines that are not in the list yet and would exceed the limit. */
+    private void dropExcess(Map<Id.Engine, Host> hosts) {
+        int listed = hosts.size();
         int[] room = {limits.engines - held.size()};
-        hosts.values().removeIf(host -> !gone(host) && !held.containsKey(host.listing().engine())
+        hosts.values().removeIf(host -> !isGone(host) && !held.containsKey(host.listing().engine())
                 && --room[0] < 0);
-        if (hosts.size() < before) {
-            front.log().line("engines at their limit, left out", before - hosts.size() + " of " + before);
+        if (hosts.size() < listed) {
+            front.log().line("engines at their limit, left out", listed - hosts.size() + " of " + listed);
         }
     }
 
-    private static boolean gone(Host host) {
+    private static boolean isGone(Host host) {
         return host.listing().health() == Health.GONE;
     }
 
-    /** By name: of one that is named twice, the last word counts, once. */
-    private Map<Id.Engine, Host> hosts(Map<?, ?> list, long lastHeard) throws BootException {
+    /** Engines by name; if a name occurs twice, only the last entry counts. */
+    private Map<Id.Engine, Host> hosts(Map<?, ?> list, long lastReceived) throws BootException {
         Map<Id.Engine, Host> hosts = new LinkedHashMap<>();
         for (Object entry : Json.list(list.get("hosts"), "hosts")) {
             if (!(entry instanceof HostRow row)) {
-                throw new BootException("hosts", "holds what is no object");
+                throw new BootException("hosts", "contains an element that is not an object");
             }
             hosts.put(row.engine(), new Host(new Event.Listing(row.engine(), row.kind(), row.zone(),
-                    row.cell(), row.health(), startedAt(row, lastHeard)), row.address(), row.bornMs()));
+                    row.cell(), row.health(), startedAt(row, lastReceived)), row.address(),
+                    row.startedAtUnixMs()));
         }
         return hosts;
     }
 
-    /** The same start is the same moment each time it is named, whatever the system's clock did meanwhile. */
-    private long startedAt(HostRow row, long lastHeard) {
-        Host before = held.get(row.engine());
-        if (before != null && before.bornMs() == row.bornMs()) {
-            return before.listing().startedAt();
+    /** An unchanged start time keeps its first conversion, even if the system clock was changed since. */
+    private long startedAt(HostRow row, long lastReceived) {
+        Host previous = held.get(row.engine());
+        if (previous != null && previous.startedAtUnixMs() == row.startedAtUnixMs()) {
+            return previous.listing().startedAt();
         }
-        long estimate = front.clock().ofUnixMs(row.bornMs());
-        return estimate == 0 ? 0 : EngineStartTime.ofNewEngine(estimate, lastHeard);
+        long estimate = front.clock().ofUnixMs(row.startedAtUnixMs());
+        return estimate == 0 ? 0 : EngineStartTime.ofNewEngine(estimate, lastReceived);
     }
 }
--- a/src/main/java/reedspring/net/Json.java
+++ b/src/main/java/reedspring/net/Json.java
@@ -11,76 +11,77 @@
 import java.util.Map;
 import reedspring.boot.BootException;
 
-/** JSON as maps, lists and text. Figures stay text: each reader knows what it wants them as. */
+/** Parses JSON into maps, lists and strings. Numbers stay strings; the callers convert them as needed. */
 final class Json {
-    /** Deeper than any list or configuration, and far from what the small stacks hold. */
-    private static final int DEEPEST = 64;
+    /** Deeper than any list or configuration, but safe for the small thread stacks. */
+    private static final int MAX_NESTING_DEPTH = 64;
     private static final JsonFactory FACTORY = JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build()).build();
+            StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build()).build();
 
     private Json() {
     }
 
-    /** Makes something smaller of an object as it is read: of a long list no map of each has to be held. */
-    interface Element {
-        Object of(Map<?, ?> object) throws BootException;
+    /** Converts each object of a list as it is parsed, so that a long list doesn't hold a map per element. */
+    interface ElementMapper {
+        Object map(Map<?, ?> object) throws BootException;
     }
 
-    /** @throws IOException if the text is no JSON or nests deeper than the parser allows */
+    /** @throws IOException if the text is not JSON or is nested too deeply */
     static Object read(String text) throws IOException {
         try {
             return read(FACTORY.createParser(text), null, null);
         } catch (BootException e) {
-            throw new IllegalStateException("nothing was made of it", e);
+            throw new IllegalStateException("no mapper was given", e);
         }
     }
 
     /**
-     * @param path the names, with dots between, that lead to the lists whose objects {@code each} is given
+     * @param path dotted path to the lists whose objects {@code mapper} converts
      * @throws IOException as above
-     * @throws BootException where {@code each} can't use an object
+     * @throws BootException if {@code mapper} rejects an object
      */
-    static Object read(byte[] text, int length, String path, Element each) throws IOException, BootException {
-        return read(FACTORY.createParser(text, 0, length), path, each);
+    static Object read(byte[] text, int length, String path, ElementMapper mapper)
+            throws IOException, BootException {
+        return read(FACTORY.createParser(text, 0, length), path, mapper);
     }
 
-    private static Object read(JsonParser parser, String path, Element each)
+    private static Object read(JsonParser parser, String path, ElementMapper mapper)
             throws IOException, BootException {
         try (parser) {
-            Object value = value(parser, parser.nextToken(), path == null ? null : "." + path, each);
+            Object value = value(parser, parser.nextToken(), path == null ? null : "." + path, mapper);
             if (parser.nextToken() != null) {
-                throw new IOException("something follows the end");
+                throw new IOException("unexpected text after the end of the document");
             }
             return value;
         }
     }
 
-    /** {@code path} is what is left of it from here on, null if it leads elsewhere. */
-    private static Object value(JsonParser parser, JsonToken token, String path, Element each)
+    /** Parses a value. {@code path} is the path that remains from here, null if the value is not on it. */
+    private static Object value(JsonParser parser, JsonToken token, String path, ElementMapper mapper)
             throws IOException, BootException {
         if (token == JsonToken.START_OBJECT) {
             Map<String, Object> map = new LinkedHashMap<>();
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
-                map.put(name, value(parser, parser.nextToken(), beyond(path, name), each));
+                map.put(name, value(parser, parser.nextToken(), remainingPath(path, name), mapper));
             }
             return map;
         }
         if (token == JsonToken.START_ARRAY) {
             List<Object> list = new ArrayList<>();
             while (parser.nextToken() != JsonToken.END_ARRAY) {
-                Object element = value(parser, parser.currentToken(), path, each);
-                list.add("".equals(path) && element instanceof Map<?, ?> map ? each.of(map) : element);
+                Object element = value(parser, parser.currentToken(), path, mapper);
+                list.add("".equals(path) && element instanceof Map<?, ?> map ? mapper.map(map) : element);
             }
             return list;
         }
         if (token == null) {
-            throw new IOException("the text ends early");
+            throw new IOException("unexpected end of the document");
         }
         return token == JsonToken.VALUE_NULL ? null : parser.getText();
     }
 
-    private static String beyond(String path, String name) {
+    private static String remainingPath(String path, String name) {
         return path != null && path.startsWith(name, 1)
                 && (path.length() == name.length() + 1 || path.charAt(name.length() + 1) == '.')
                 ? path.substring(name.length() + 1) : null;
@@ -90,14 +91,14 @@
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new BootException(field, value == null ? "missing" : "is no object");
+        throw new BootException(field, value == null ? "missing" : "is not an object");
     }
 
     static List<?> list(Object value, String field) throws BootException {
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new BootException(field, value == null ? "missing" : "is no list");
+        throw new BootException(field, value == null ? "missing" : "is not a list");
     }
 
     static String text(Map<?, ?> map, String field) throws BootException {
@@ -105,21 +106,21 @@
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new BootException(field, value == null ? "missing" : "is no text or figure");
+        throw new BootException(field, value == null ? "missing" : "is not a string or number");
     }
 
-    static long whole(Map<?, ?> map, String field, long otherwise) throws BootException {
+    static long whole(Map<?, ?> map, String field, long defaultValue) throws BootException {
         if (map.get(field) == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return (long) Double.parseDouble(text(map, field));
         } catch (NumberFormatException e) {
-            throw new BootException(field, "'" + map.get(field) + "' is no number");
+            throw new BootException(field, "'" + map.get(field) + "' is not a number");
         }
     }
 
-    /** The path=value pairs of the simulator's first message, from the same settings nested. */
+    /** Flattens nested settings into the path=value pairs that the simulator's first message uses. */
     static Map<String, String> flat(Map<?, ?> nested) {
         Map<String, String> pairs = new LinkedHashMap<>();
         flatten("", nested, pairs);
--- a/src/main/java/reedspring/net/Rows.java
+++ b/src/main/java/reedspring/net/Rows.java
@@ -3,26 +3,26 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Tells whether a page is text of three columns, each row ended: what is not can't be a page, whatever its
- * frame says. One for the loop: the bytes are copied out first, as looking at each in its buffer took half of
- * a front's own time.
+ * Checks that a page is text of three columns with every row terminated; anything else is rejected even if
+ * its frame is valid. There is one instance per event loop. The bytes are copied out first, because reading
+ * them one by one from the buffer took half of the front's own CPU time.
  */
 final class Rows {
     private static final int COLUMNS = 3;
-    private final byte[] text;
+    private final byte[] buffer;
 
-    Rows(int most) {
-        text = new byte[most];
+    Rows(int maxPageBytes) {
+        buffer = new byte[maxPageBytes];
     }
 
-    /** Of at most as many bytes as it was made for; the buffer stays as it is. */
-    boolean whole(ByteBuf page) {
+    /** Checks a page of at most the size given to the constructor; the page's reader index stays as it is. */
+    boolean hasWholeRows(ByteBuf page) {
         int length = page.readableBytes();
-        page.getBytes(page.readerIndex(), text, 0, length);
-        byte[] from = text;
+        page.getBytes(page.readerIndex(), buffer, 0, length);
+        byte[] bytes = buffer;
         int tabs = 0;
         for (int k = 0; k < length; k++) {
-            byte c = from[k];
+            byte c = bytes[k];
             if (c >= 0 && c < ' ') {
                 if (c == '\t') {
                     tabs++;
@@ -33,6 +33,6 @@
                 }
             }
         }
-        return length == 0 || from[length - 1] == '\n';
+        return length == 0 || bytes[length - 1] == '\n';
     }
 }
--- a/src/main/java/reedspring/net/Submission.java
+++ b/src/main/java/reedspring/net/Submission.java
@@ -5,30 +5,38 @@
 import reedspring.api.Id;
 import reedspring.spool.AnswerId;
 
-/** One submission of a query to an engine, until its outcome. */
+/**
+ * One try to run a query on an engine, until its outcome. Times are in ticks (tenths of a millisecond) unless
+ * a name ends in {@code Ms}.
+ */
 final class Submission {
     final OpenQuery query;
     final Id.Submission number;
     long sentAt;
     long timeoutAt;
-    /** Past this it may not begin any more. */
+    /** The latest time at which it may be sent. */
     final long departBy;
     EngineConnection connection;
     Timers.Due end;
     boolean written;
     boolean over;
-    /** Set once the engine has ended well: the pages, null where one is still to come. */
+    /** Set once the engine has finished the query: the pages, null where one is still missing. */
     ByteBuf[] pages;
     int missing;
     int sheets;
-    /** Where the answer is kept on disk: its name, the pages that have come, and what its client is told. */
+    /**
+     * For an answer that is kept on disk: its name here, then the pages received, and the handle and the time
+     * for which it is kept that the client is told.
+     */
     AnswerId kept;
-    BitSet came;
+    BitSet receivedPages;
     String handle;
     long keptForMs;
     int bytes;
     long endedAt;
+    /** How long the end may have lain unread while the process was paused. */
     long unseen;
+    /** The engine's work on the query, as the engine tells it. */
     long work;
 
     Submission(OpenQuery query, long sentAt, long timeoutAt, long departBy) {
@@ -39,6 +47,7 @@
         this.departBy = departBy;
     }
 
+    /** Releases the buffered pages. */
     void release() {
         for (int k = 0; pages != null && k < pages.length; k++) {
             if (pages[k] != null) {
--- a/src/main/java/reedspring/net/SubmissionRunner.java
+++ b/src/main/java/reedspring/net/SubmissionRunner.java
@@ -4,14 +4,14 @@
 import reedspring.api.Event;
 import reedspring.api.Id;
 
-/** What the front asks of whoever runs its submissions. On the loop only. */
+/** Runs the front's submissions. Called on the event loop only. */
 interface SubmissionRunner {
-    /** The engines as they are listed now, ahead of the decisions' own hearing of it. */
+    /** Tells the engines as they are listed now, before the decision logic is told. */
     void listed(Event.Reading reading, List<Host> hosts);
 
-    /** Runs it there; its end is told by {@link Front#closed}. */
+    /** Runs the submission on the engine; its outcome is reported to {@link Front#closed}. */
     void send(Id.Engine engine, Submission s);
 
-    /** Comes every {@link Limits#tick}. */
+    /** Called every {@link Limits#tick}. */
     void tick(long now);
 }
--- a/src/main/java/reedspring/net/WholeCommandEncoder.java
+++ b/src/main/java/reedspring/net/WholeCommandEncoder.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * Hands a command to the socket as one message, or not at all. Where memory for one of its parts is lacking,
- * Netty's encoder writes the parts before it all the same: the engine would take the next command for the
- * rest of this one, and run what no client has sent.
+ * Writes a command as one message or not at all. If the allocation of one part fails, Netty's encoder still
+ * writes the parts before it: the engine would then read the next command as the remainder of this one and
+ * run a statement that no client has sent.
  */
 final class WholeCommandEncoder extends RedisEncoder {
     @Override
--- a/src/test/java/reedspring/net/ListsIT.java
+++ b/src/test/java/reedspring/net/ListsIT.java
@@ -287,7 +287,7 @@
         begin(rows(0, 2, "ready", first));
         signsOfLife();
         journal.tell(true, rows(0, 100_000, "ready", second));
-        await("a word of it", () -> front.logged("journal event too long, not taken"));
+        await("a word of it", () -> front.logged("journal event too long, ignored"));
         allGoTo(first, second);
         calledOnce();
         // Few bytes for each, so that the count is what is too large.
@@ -295,7 +295,7 @@
                 + "\",\"dial\":\"" + second.address() + "\",\"health\":\"ready\"}").toArray(String[]::new);
         journal.tell(true, Arrays.copyOf(short100k, 40_000));
         await("a word of that, too",
-                () -> front.logged("journal list of too many engines, not taken: 40000"));
+                () -> front.logged("journal list of too many engines, ignored: 40000"));
         allGoTo(first, second);
         // What follows is news of a list that is not known here, and late news are better than none.
         journal.tell(false, both(rows(0, 2, "draining", first), rows(5, 2, "ready", second)));
