--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -19,10 +19,10 @@
 import reedspring.boot.BootException;
 import reedspring.boot.Times;
 
-/** Speaks the simulator's wire for many fronts that share nothing. */
+/** Serves the simulator's line protocol for any number of independent fronts in one process. */
 public final class Adapter {
-    private final BufferedReader in;
-    private final OutputStream out;
+    private final BufferedReader input;
+    private final OutputStream output;
     private final Map<Integer, Front> fronts = new HashMap<>();
     private final Map<Integer, List<Event.Listing>> directories = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
@@ -32,77 +32,77 @@
     private record Front(Boot boot, Control control) {
     }
 
-    public Adapter(InputStream in, OutputStream out) {
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        this.out = out;
+    public Adapter(InputStream input, OutputStream output) {
+        this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), 1 << 16);
+        this.output = output;
     }
 
     /** Serves frames until the input ends. */
     public void serve() throws IOException, WireException {
-        for (String text = next(); text != null; text = next()) {
+        for (String text = readLine(); text != null; text = readLine()) {
             if (text.isBlank()) {
                 continue;
             }
             Line frame = new Line(text, lineNumber);
-            if (!frame.is("FRAME")) {
-                throw frame.malformed("FRAME", "a frame has to begin here");
+            if (!frame.hasName("FRAME")) {
+                throw frame.malformed("FRAME", "expected the start of a frame");
             }
-            now = Times.clock(frame.number("timeMs"));
+            now = Times.ticksAt(frame.lineNumber("timeMs"));
             reply.setLength(0);
-            for (Line line = inFrame(); !line.is("OVER_TO_YOU"); line = inFrame()) {
-                take(line);
+            for (Line line = readFrameLine(); !line.hasName("OVER_TO_YOU"); line = readFrameLine()) {
+                handle(line);
             }
             reply.append("ACK\n");
-            out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
-            out.flush();
+            output.write(reply.toString().getBytes(StandardCharsets.UTF_8));
+            output.flush();
         }
     }
 
-    private String next() throws IOException {
+    private String readLine() throws IOException {
         lineNumber++;
-        return in.readLine();
+        return input.readLine();
     }
 
-    private Line inFrame() throws IOException, WireException {
-        String text = next();
+    private Line readFrameLine() throws IOException, WireException {
+        String text = readLine();
         if (text == null) {
             throw new WireException(lineNumber, "OVER_TO_YOU: the input ended inside a frame");
         }
         return new Line(text, lineNumber);
     }
 
-    private void take(Line line) throws IOException, WireException {
+    private void handle(Line line) throws IOException, WireException {
         switch (line.name()) {
-            case "DIRECTORY" -> directory(line);
+            case "DIRECTORY" -> readDirectory(line);
             case "ATTACH" -> attach(line);
-            case "EXIT" -> fronts.remove((int) line.whole("i"));
+            case "EXIT" -> fronts.remove((int) line.integer("i"));
             case "WORK_ITEM", "ROSTER_CHANGE", "GONE", "STATUS_NOTE", "FIRED", "STARTED",
                     "CLOSED_ATTEMPT" -> {
-                int instance = (int) line.whole("i");
+                int instance = (int) line.integer("i");
                 Front front = fronts.get(instance);
-                Event report = front == null ? null : report(front.boot, line);
+                Event report = front == null ? null : parseReport(front.boot, line);
                 if (report != null) {
                     decide(instance, front, report);
                 }
-                Event event = front == null ? null : event(front.boot, line);
+                Event event = front == null ? null : parseEvent(front.boot, line);
                 if (event != null) {
                     decide(instance, front, event);
                 }
             }
             default -> {
-                // events that no decision reads, and ones that this build does not know yet
+                // ignored: events that affect no decision, and those unknown to this version
             }
         }
     }
 
     private void attach(Line line) throws WireException {
-        int instance = (int) line.whole("i");
-        long seed = line.whole("seed");
+        int instance = (int) line.integer("i");
+        long seed = line.integer("seed");
         Boot boot;
         try {
-            boot = new Boot(line.all());
+            boot = new Boot(line.allFields());
         } catch (BootException e) {
-            throw line.malformed(e.field(), e.why());
+            throw line.malformed(e.field(), e.reason());
         }
         List<Action> actions = new ArrayList<>();
         try {
@@ -110,7 +110,7 @@
             fronts.put(instance, front);
             write(instance, actions);
         } catch (RuntimeException e) {
-            broken(instance, e);
+            reportFault(instance, e);
         }
     }
 
@@ -120,82 +120,82 @@
             front.control.on(now, event, actions::add);
             write(instance, actions);
         } catch (RuntimeException e) {
-            broken(instance, e);
+            reportFault(instance, e);
         }
     }
 
-    private void broken(int instance, RuntimeException e) {
+    private void reportFault(int instance, RuntimeException e) {
         fronts.remove(instance);
         StackTraceElement[] trace = e.getStackTrace();
         reply.append("BUG i=").append(instance).append(" msg=").append(e.toString().replaceAll("\\s+", " "))
                 .append(" at ").append(trace.length == 0 ? "an unknown place" : trace[0]).append('\n');
     }
 
-    private void directory(Line line) throws IOException, WireException {
-        int set = (int) line.whole("setId");
-        long rows = line.whole("rowsIn");
+    private void readDirectory(Line line) throws IOException, WireException {
+        int setId = (int) line.integer("setId");
+        long rows = line.integer("rowsIn");
         List<Event.Listing> entries = new ArrayList<>();
         for (long k = 0; k < rows; k++) {
-            Line row = inFrame();
-            if (!row.is("ENTRY")) {
+            Line row = readFrameLine();
+            if (!row.hasName("ENTRY")) {
                 throw row.malformed("ENTRY", "DIRECTORY announced " + rows + " entries, got " + k);
             }
             String zone = row.find("dc");
             String kind = row.find("flavor");
             entries.add(new Event.Listing(new Id.Engine(row.text("engine")),
                     new Id.Kind(kind == null ? "" : kind), new Id.Zone(zone == null ? "" : zone),
-                    new Id.Cell((long) row.number("cluster", 0)), health(row),
-                    Times.clock(row.number("launchedMs", 0))));
+                    new Id.Cell((long) row.lineNumber("cluster", 0)), parseHealth(row),
+                    Times.ticksAt(row.lineNumber("launchedMs", 0))));
         }
-        directories.put(set, entries);
+        directories.put(setId, entries);
     }
 
-    private static Event.Health health(Line row) throws WireException {
-        String word = row.text("health");
-        return switch (word) {
+    private static Event.Health parseHealth(Line row) throws WireException {
+        String state = row.text("health");
+        return switch (state) {
             case "up" -> Event.Health.UP;
             case "draining" -> Event.Health.DRAINING;
             case "removed" -> Event.Health.GONE;
-            default -> throw row.malformed("health", "'" + word + "' is no state of an engine");
+            default -> throw row.malformed("health", "'" + state + "' is not an engine state");
         };
     }
 
-    private Event event(Boot boot, Line line) throws WireException {
+    private Event parseEvent(Boot boot, Line line) throws WireException {
         return switch (line.name()) {
-            case "WORK_ITEM" -> taken(boot, line);
-            case "ROSTER_CHANGE" -> listed(line);
-            case "GONE" -> new Event.Left(query(line));
-            case "STATUS_NOTE" -> note(line);
-            case "FIRED" -> new Event.Woken(new Id.Timer(line.whole("handle")));
-            case "STARTED" -> new Event.StreamBegan(query(line), submission(line));
-            default -> closed(line);
+            case "WORK_ITEM" -> parseTaken(boot, line);
+            case "ROSTER_CHANGE" -> parseListed(line);
+            case "GONE" -> new Event.Left(parseQuery(line));
+            case "STATUS_NOTE" -> parseNote(line);
+            case "FIRED" -> new Event.Woken(new Id.Timer(line.integer("handle")));
+            case "STARTED" -> new Event.StreamBegan(parseQuery(line), parseSubmission(line));
+            default -> parseClosed(line);
         };
     }
 
-    private static Id.Query query(Line line) throws WireException {
-        return new Id.Query(line.whole("call"));
+    private static Id.Query parseQuery(Line line) throws WireException {
+        return new Id.Query(line.integer("call"));
     }
 
-    private static Id.Submission submission(Line line) throws WireException {
-        return new Id.Submission((int) line.whole("copy"));
+    private static Id.Submission parseSubmission(Line line) throws WireException {
+        return new Id.Submission((int) line.integer("copy"));
     }
 
-    private static Event taken(Boot boot, Line line) throws WireException {
+    private static Event parseTaken(Boot boot, Line line) throws WireException {
         String groupName = line.text("profile");
         Id.Group group = boot.group(groupName);
         if (group == null) {
-            throw line.malformed("profile", "'" + groupName + "' is no class of this instance");
+            throw line.malformed("profile", "'" + groupName + "' is not a class of this instance");
         }
         String key = line.find("target");
         String set = line.find("dataset");
-        return new Event.Taken(query(line), group, boot.tenant(line.find("realm")),
-                set == null ? Id.DataSet.UNKNOWN : new Id.DataSet((long) line.number("dataset", set)),
-                Times.nearest(Math.max(0, line.number("planCostMs", 0))),
-                Math.max(0, line.number("needMb", 0)),
-                Times.clock(line.number("expiresMs")), key == null ? null : new Id.OrderKey(key));
+        return new Event.Taken(parseQuery(line), group, boot.tenant(line.find("realm")),
+                set == null ? Id.DataSet.UNKNOWN : new Id.DataSet((long) line.lineNumber("dataset", set)),
+                Times.nearest(Math.max(0, line.lineNumber("planCostMs", 0))),
+                Math.max(0, line.lineNumber("needMb", 0)),
+                Times.ticksAt(line.lineNumber("expiresMs")), key == null ? null : new Id.OrderKey(key));
     }
 
-    private Event listed(Line line) throws WireException {
+    private Event parseListed(Line line) throws WireException {
         String mode = line.text("mode");
         Event.Reading reading;
         switch (mode) {
@@ -205,22 +205,22 @@
             case "update" -> reading = Event.Reading.CHANGES;
             case "replace" -> reading = Event.Reading.COMPLETE;
             case "restored" -> reading = Event.Reading.REMEMBERED;
-            default -> throw line.malformed("mode", "'" + mode + "' is no kind of list");
+            default -> throw line.malformed("mode", "'" + mode + "' is not a list mode");
         }
-        List<Event.Listing> entries = directories.get((int) line.whole("setId"));
+        List<Event.Listing> entries = directories.get((int) line.integer("setId"));
         if (entries == null) {
-            throw line.malformed("setId", "no DIRECTORY bears this number");
+            throw line.malformed("setId", "no DIRECTORY has this number");
         }
         return new Event.EnginesListed(reading, entries);
     }
 
-    private static Event note(Line line) throws WireException {
-        return line.whole("topic") != 1 ? null
-                : new Event.ShareDone(query(line), submission(line), line.number("amount"), 0);
+    private static Event parseNote(Line line) throws WireException {
+        return line.integer("topic") != 1 ? null
+                : new Event.ShareDone(parseQuery(line), parseSubmission(line), line.lineNumber("amount"), 0);
     }
 
-    /** The load report that came with it, or null. Values come in the settings' order of columns. */
-    private static Event report(Boot boot, Line line) throws WireException {
+    /** The load report in a line, or null. Its values are in the order of {@code report.columns}. */
+    private static Event parseReport(Boot boot, Line line) throws WireException {
         String gauge = line.find("gauge");
         String engine = line.find("engine");
         if (gauge == null || engine == null) {
@@ -230,12 +230,12 @@
         String[] values = gauge.split(",");
         List<String> columns = boot.reportColumns();
         for (int k = 0; k < Math.min(values.length, columns.size()); k++) {
-            load = load.with(columns.get(k), line.number("gauge", values[k]));
+            load = load.with(columns.get(k), line.lineNumber("gauge", values[k]));
         }
         return new Event.LoadReported(new Id.Engine(engine), load);
     }
 
-    private static Event closed(Line line) throws WireException {
+    private static Event parseClosed(Line line) throws WireException {
         String how = line.text("how");
         Event.Outcome outcome = switch (how) {
             case "delivered" -> Event.Outcome.FINISHED;
@@ -246,33 +246,35 @@
             case "dropped" -> Event.Outcome.BROKEN;
             case "revoked" -> Event.Outcome.CANCELLED;
             case "unused" -> Event.Outcome.NOT_SENT;
-            default -> throw line.malformed("how", "'" + how + "' is no outcome");
+            default -> throw line.malformed("how", "'" + how + "' is not an outcome");
         };
         String note = line.find("note");
-        long bill = note == null || outcome != Event.Outcome.FINISHED ? 0 : line.whole("note", note);
-        return new Event.Closed(query(line), submission(line), outcome, line.flag("settled"),
-                Times.nearest(line.number("elapsedMs", 0)), 0, (bill >> 12) * 10);
+        // The bits above the lowest 12 of the note hold the work in milliseconds.
+        long noteValue = note == null || outcome != Event.Outcome.FINISHED ? 0 : line.integer("note", note);
+        return new Event.Closed(parseQuery(line), parseSubmission(line), outcome, line.flag("settled"),
+                Times.nearest(line.lineNumber("elapsedMs", 0)), 0, (noteValue >> 12) * 10);
     }
 
     private void write(int instance, List<Action> actions) {
         for (Action action : actions) {
             if (action instanceof Action.Submit submit) {
-                begin("SEND", instance, submit.query()).append(" engine=").append(submit.engine().address());
-                span(" capMs=", submit.timeout());
+                beginCommand("SEND", instance, submit.query()).append(" engine=")
+                        .append(submit.engine().address());
+                appendMs(" capMs=", submit.timeout());
             } else if (action instanceof Action.SetPriority set) {
-                begin("SET_TERMS", instance, set.query()).append(" memMb=0 weightClass=")
+                beginCommand("SET_TERMS", instance, set.query()).append(" memMb=0 weightClass=")
                         .append(set.priority());
             } else if (action instanceof Action.Cancel cancel) {
-                begin("ABANDON", instance, cancel.query()).append(" copy=")
+                beginCommand("ABANDON", instance, cancel.query()).append(" copy=")
                         .append(cancel.submission().value());
             } else if (action instanceof Action.Defer defer) {
-                begin("DECLINE", instance, defer.query());
-                span(" retryInMs=", defer.comeBack());
+                beginCommand("DECLINE", instance, defer.query());
+                appendMs(" retryInMs=", defer.comeBack());
             } else if (action instanceof Action.Kill kill) {
-                begin("REPORT_FAILURE", instance, kill.query());
+                beginCommand("REPORT_FAILURE", instance, kill.query());
             } else if (action instanceof Action.WakeMe wake) {
                 reply.append("WAKE_ME i=").append(instance).append(" handle=").append(wake.timer().value());
-                span(" spanMs=", wake.span());
+                appendMs(" spanMs=", wake.span());
             } else if (action instanceof Action.FollowEngines) {
                 reply.append("FOLLOW i=").append(instance).append(" active=1");
             } else if (action instanceof Action.Remark remark) {
@@ -283,14 +285,14 @@
         }
     }
 
-    private StringBuilder begin(String name, int instance, Id.Query query) {
+    private StringBuilder beginCommand(String name, int instance, Id.Query query) {
         return reply.append(name).append(" i=").append(instance).append(" call=").append(query.value());
     }
 
-    private void span(String field, long tenths) {
-        if (tenths != 0) {
+    private void appendMs(String field, long ticks) {
+        if (ticks != 0) {
             reply.append(field);
-            Times.write(reply, tenths);
+            Times.appendMs(reply, ticks);
         }
     }
 }
--- a/src/main/java/reedspring/adapter/Line.java
+++ b/src/main/java/reedspring/adapter/Line.java
@@ -3,31 +3,32 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One line of a frame: its name, and its fields by name. */
+/** One line of a frame: a name followed by name=value fields, separated by spaces. */
 final class Line {
     private final String text;
-    private final long number;
-    private final int[] starts = new int[16];
+    private final long lineNumber;
+    private final int[] fieldStarts = new int[16];
     private final int nameEnd;
-    private int fields;
+    private int fieldCount;
 
-    Line(String text, long number) throws WireException {
+    Line(String text, long lineNumber) throws WireException {
         this.text = text;
-        this.number = number;
+        this.lineNumber = lineNumber;
         int space = text.indexOf(' ');
         nameEnd = space < 0 ? text.length() : space;
         if (nameEnd == 0) {
-            throw new WireException(number, "a line without a name");
+            throw new WireException(lineNumber, "line has no name");
         }
-        for (int at = nameEnd; at < text.length() && fields < starts.length; at = text.indexOf(' ', at + 1)) {
-            if (at < 0) {
+        for (int index = nameEnd; index < text.length() && fieldCount < fieldStarts.length;
+                index = text.indexOf(' ', index + 1)) {
+            if (index < 0) {
                 break;
             }
-            starts[fields++] = at + 1;
+            fieldStarts[fieldCount++] = index + 1;
         }
     }
 
-    boolean is(String name) {
+    boolean hasName(String name) {
         return name.length() == nameEnd && text.startsWith(name);
     }
 
@@ -35,18 +36,18 @@
         return text.substring(0, nameEnd);
     }
 
-    WireException malformed(String field, String why) {
-        return new WireException(number, name() + " " + field + ": " + why);
+    WireException malformed(String field, String reason) {
+        return new WireException(lineNumber, name() + " " + field + ": " + reason);
     }
 
     /** The value of a field, or null if it is absent. */
     String find(String field) {
-        for (int k = 0; k < fields; k++) {
-            int from = starts[k];
-            int to = from + field.length();
-            if (to < text.length() && text.charAt(to) == '=' && text.startsWith(field, from)) {
-                int end = text.indexOf(' ', to);
-                return text.substring(to + 1, end < 0 ? text.length() : end);
+        for (int k = 0; k < fieldCount; k++) {
+            int start = fieldStarts[k];
+            int equalsAt = start + field.length();
+            if (equalsAt < text.length() && text.charAt(equalsAt) == '=' && text.startsWith(field, start)) {
+                int end = text.indexOf(' ', equalsAt);
+                return text.substring(equalsAt + 1, end < 0 ? text.length() : end);
             }
         }
         return null;
@@ -60,37 +61,37 @@
         return value;
     }
 
-    long whole(String field) throws WireException {
-        return whole(field, text(field));
+    long integer(String field) throws WireException {
+        return integer(field, text(field));
     }
 
-    long whole(String field, String value) throws WireException {
+    long integer(String field, String value) throws WireException {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw malformed(field, "'" + value + "' is no whole number");
+            throw malformed(field, "'" + value + "' is not an integer");
         }
     }
 
-    double number(String field) throws WireException {
-        return number(field, text(field));
+    double lineNumber(String field) throws WireException {
+        return lineNumber(field, text(field));
     }
 
-    double number(String field, double otherwise) throws WireException {
+    double lineNumber(String field, double defaultValue) throws WireException {
         String value = find(field);
-        return value == null ? otherwise : number(field, value);
+        return value == null ? defaultValue : lineNumber(field, value);
     }
 
-    double number(String field, String value) throws WireException {
+    double lineNumber(String field, String value) throws WireException {
         try {
             double parsed = Double.parseDouble(value);
             if (!Double.isInfinite(parsed) && !Double.isNaN(parsed)) {
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // reported below, like the figures that a double can hold and a time can't
+            // reported below, like infinity and NaN
         }
-        throw malformed(field, "'" + value + "' is no number");
+        throw malformed(field, "'" + value + "' is not a number");
     }
 
     boolean flag(String field) throws WireException {
@@ -104,19 +105,19 @@
         throw malformed(field, "'" + value + "' is neither 0 nor 1");
     }
 
-    /** All fields, however many. */
-    Map<String, String> all() throws WireException {
+    /** All fields by name; not limited in number, unlike {@link #find}. */
+    Map<String, String> allFields() throws WireException {
         Map<String, String> pairs = new LinkedHashMap<>();
-        for (int at = nameEnd; at >= 0 && at < text.length(); ) {
-            int end = text.indexOf(' ', at + 1);
-            String pair = text.substring(at + 1, end < 0 ? text.length() : end);
+        for (int index = nameEnd; index >= 0 && index < text.length(); ) {
+            int end = text.indexOf(' ', index + 1);
+            String pair = text.substring(index + 1, end < 0 ? text.length() : end);
             int equals = pair.indexOf('=');
             if (equals > 0) {
                 pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
             } else if (!pair.isEmpty()) {
-                throw malformed(pair, "no name=value pair");
+                throw malformed(pair, "not a name=value pair");
             }
-            at = end;
+            index = end;
         }
         return pairs;
     }
--- a/src/main/java/reedspring/adapter/WireException.java
+++ b/src/main/java/reedspring/adapter/WireException.java
@@ -1,10 +1,10 @@
 package reedspring.adapter;
 
-/** What came in is not the wire; the message names the line and the field. */
+/** The input violates the simulator's protocol; the message names the line and the field. */
 public final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    WireException(long line, String what) {
-        super("line " + line + ": " + what);
+    WireException(long line, String reason) {
+        super("line " + line + ": " + reason);
     }
 }
--- a/src/main/java/reedspring/boot/Boot.java
+++ b/src/main/java/reedspring/boot/Boot.java
@@ -13,8 +13,8 @@
 import reedspring.api.Id;
 
 /**
- * Reads what a front is told at its start into a {@link Deployment}. It takes path=value pairs, as the
- * simulator sends them and a configuration file is flattened to, so that both fronts read one form.
+ * Reads a front's start-up settings into a {@link Deployment}. The input is path=value pairs: the simulator
+ * sends them, and a configuration file is flattened to them, so that both use the same code.
  */
 public final class Boot {
     private final Map<String, String> pairs;
@@ -31,78 +31,83 @@
         return deployment;
     }
 
+    /** The resource group of the given name, or null. */
     public Id.Group group(String name) {
         int index = groupNames.indexOf(name);
         return index < 0 ? null : new Id.Group(index);
     }
 
+    /** The tenant of the given name, or {@link Id.Tenant#NOBODY}. */
     public Id.Tenant tenant(String name) {
         int index = name == null ? -1 : tenantNames.indexOf(name);
         return index < 0 ? Id.Tenant.NOBODY : new Id.Tenant(index);
     }
 
     private Deployment read() throws BootException {
-        return new Deployment(Math.max(1, (int) number("fleetSize", 1)), groups(), tenants(), machines(),
+        return new Deployment(Math.max(1, (int) number("fleetSize", 1)), readGroups(), readTenants(),
+                readMachines(),
                 new Deployment.Allowed(flag("allowed.cancel"), flag("allowed.retryAfter"),
                         flag("familyInfo.lanesCount"),
                         (int) number("allowed.sendCap", 1),
-                        Times.within(number("allowed.maxRetryAfterMs", 0))),
+                        Times.ticksAtMost(number("allowed.maxRetryAfterMs", 0))),
                 new Deployment.Discovery("subscribe".equals(pairs.get("membershipMode")),
-                        Times.within(number("rules.askWithinMs", 10_000))),
+                        Times.ticksAtMost(number("rules.askWithinMs", 10_000))),
                 new Deployment.ColdStart(number("rules.coldFrom", 1),
-                        Times.atLeast(number("rules.rampTimeMs", 0)),
-                        number("rules.fallMultiple", 1), Times.atLeast(number("rules.overloadForMs", 0))),
+                        Times.ticksAtLeast(number("rules.rampTimeMs", 0)),
+                        number("rules.fallMultiple", 1),
+                        Times.ticksAtLeast(number("rules.overloadForMs", 0))),
                 pairs.containsKey("rules.repeatRatio") || pairs.containsKey("rules.freeResends")
                         ? new Deployment.Ration((int) number("rules.freeResends", 0),
                                 number("rules.repeatRatio", 0),
                                 Times.nearest(number("rules.resendSpanMs", 0)))
                         : null,
-                Times.atLeast(number("rules.keyQuietMs", 0)), number("overShareWorth", 1),
+                Times.ticksAtLeast(number("rules.keyQuietMs", 0)), number("overShareWorth", 1),
                 Times.nearest(number("familyInfo.tellsEveryMs", 0)),
                 "page".equals(pairs.get("familyInfo.overbooked")));
     }
 
-    private List<Deployment.ResourceGroup> groups() throws BootException {
+    private List<Deployment.ResourceGroup> readGroups() throws BootException {
         List<Deployment.ResourceGroup> groups = new ArrayList<>();
-        String[] threads = list("familyInfo.parallelism");
+        String[] parallelism = list("familyInfo.parallelism");
         int count = (int) number("classes.count", 0);
         for (int k = 0; k < count; k++) {
-            String at = "classes." + k + ".";
-            String name = pairs.getOrDefault(at + "name", "");
+            String prefix = "classes." + k + ".";
+            String name = pairs.getOrDefault(prefix + "name", "");
             groupNames.add(name);
-            groups.add(new Deployment.ResourceGroup(Times.nearest(number(at + "aimMs", 0)),
-                    number(at + "aimStretch", 0), number(at + "points", 1), number(at + "lateWorth", 0),
-                    k >= threads.length ? 1
-                            : (int) Math.max(1, parse("familyInfo.parallelism", threads[k])),
-                    switch (pairs.getOrDefault(at + "effect", "once")) {
+            groups.add(new Deployment.ResourceGroup(Times.nearest(number(prefix + "aimMs", 0)),
+                    number(prefix + "aimStretch", 0), number(prefix + "points", 1),
+                    number(prefix + "lateWorth", 0),
+                    k >= parallelism.length ? 1
+                            : (int) Math.max(1, parse("familyInfo.parallelism", parallelism[k])),
+                    switch (pairs.getOrDefault(prefix + "effect", "once")) {
                         case "repeatable" -> Effect.READ_ONLY;
                         case "by_key" -> Effect.TOKENED;
                         default -> Effect.MUTATING;
                     },
-                    switch (pairs.getOrDefault(at + "group", "cell")) {
+                    switch (pairs.getOrDefault(prefix + "group", "cell")) {
                         case "all" -> Recognised.ALL;
                         case "zone" -> Recognised.ZONE;
                         default -> Recognised.CELL;
                     },
-                    Times.within(number(at + "windowMs", 0)), flag(at + "sequential"),
-                    set(at + "allowedIn", Id.Zone::new), set(at + "boundTo", Id.Kind::new)));
+                    Times.ticksAtMost(number(prefix + "windowMs", 0)), flag(prefix + "sequential"),
+                    set(prefix + "allowedIn", Id.Zone::new), set(prefix + "boundTo", Id.Kind::new)));
         }
         return groups;
     }
 
-    private List<Deployment.Tenant> tenants() throws BootException {
+    private List<Deployment.Tenant> readTenants() throws BootException {
         List<Deployment.Tenant> tenants = new ArrayList<>();
         int count = (int) number("customers.count", 0);
         for (int k = 0; k < count; k++) {
-            String at = "customers." + k + ".";
-            String name = pairs.getOrDefault(at + "name", "");
+            String prefix = "customers." + k + ".";
+            String name = pairs.getOrDefault(prefix + "name", "");
             tenantNames.add(name);
-            tenants.add(new Deployment.Tenant(number(at + "share", 0), number(at + "quotaPerS", 0)));
+            tenants.add(new Deployment.Tenant(number(prefix + "share", 0), number(prefix + "quotaPerS", 0)));
         }
         return tenants;
     }
 
-    private Map<Id.Kind, Deployment.Machine> machines() throws BootException {
+    private Map<Id.Kind, Deployment.Machine> readMachines() throws BootException {
         Map<Id.Kind, Deployment.Machine> machines = new HashMap<>();
         String[] kinds = list("kinds");
         String[] cores = list("familyInfo.sizeCores");
@@ -115,7 +120,7 @@
         return machines;
     }
 
-    /** The longest queue timeout of all groups in milliseconds, 0 where none is told. */
+    /** The longest queue timeout of all groups in milliseconds, 0 if none is set. */
     public double longestTimeout() throws BootException {
         double longest = 0;
         for (int k = 0; k < groupNames.size(); k++) {
@@ -124,15 +129,15 @@
         return longest;
     }
 
-    /** What the values of a load report are, in their order; empty where there are none. */
+    /** The names of the values in a load report, in order; empty if there are none. */
     public List<String> reportColumns() {
         return List.of(list("report.columns"));
     }
 
-    /** A figure of the deployment that only a protocol needs. */
-    public double number(String key, double otherwise) throws BootException {
+    /** A numeric setting that is not part of the {@link Deployment}. */
+    public double number(String key, double defaultValue) throws BootException {
         String value = pairs.get(key);
-        return value == null ? otherwise : parse(key, value);
+        return value == null ? defaultValue : parse(key, value);
     }
 
     private static double parse(String key, String value) throws BootException {
@@ -142,9 +147,9 @@
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // reported below, like the figures that a double can hold and a time can't
+            // reported below, like infinity and NaN
         }
-        throw new BootException(key, "'" + value + "' is no number");
+        throw new BootException(key, "'" + value + "' is not a number");
     }
 
     private boolean flag(String key) {
--- a/src/main/java/reedspring/boot/BootException.java
+++ b/src/main/java/reedspring/boot/BootException.java
@@ -1,22 +1,22 @@
 package reedspring.boot;
 
-/** What a front was told at its start can't be used; the message names the field. */
+/** A start-up setting or a list of engines can't be used; the message names the field. */
 public final class BootException extends Exception {
     private static final long serialVersionUID = 1L;
     private final String field;
-    private final String why;
+    private final String reason;
 
-    public BootException(String field, String why) {
-        super(field + ": " + why);
+    public BootException(String field, String reason) {
+        super(field + ": " + reason);
         this.field = field;
-        this.why = why;
+        this.reason = reason;
     }
 
     public String field() {
         return field;
     }
 
-    public String why() {
-        return why;
+    public String reason() {
+        return reason;
     }
 }
--- a/src/main/java/reedspring/boot/Times.java
+++ b/src/main/java/reedspring/boot/Times.java
@@ -1,38 +1,42 @@
 package reedspring.boot;
 
 /**
- * The wires count milliseconds, the decisions tenths of a millisecond. The clock rounds down; spans round to
- * the side on which no rule breaks, with one tenth more for what the clock may have lost.
+ * Converts between the milliseconds of the protocols and the ticks of the decisions; one tick is a tenth of a
+ * millisecond. Clock readings round down. Spans round to the safe side of the rule that uses them, with one
+ * more tick for what rounding the clock may have lost.
  */
 public final class Times {
-    private static final double TENTHS = 10;
+    private static final double TICKS_PER_MS = 10;
 
     private Times() {
     }
 
-    public static long clock(double ms) {
-        return (long) Math.floor(ms * TENTHS + 1e-6);
+    /** Converts a clock reading. */
+    public static long ticksAt(double ms) {
+        return (long) Math.floor(ms * TICKS_PER_MS + 1e-6);
     }
 
-    /** For what has to happen within the span. */
-    public static long within(double ms) {
-        return ms <= 0 ? 0 : Math.max(0, (long) Math.floor(ms * TENTHS + 1e-6) - 1);
+    /** Rounds a span down, for something that has to happen within it. */
+    public static long ticksAtMost(double ms) {
+        return ms <= 0 ? 0 : Math.max(0, (long) Math.floor(ms * TICKS_PER_MS + 1e-6) - 1);
     }
 
-    /** For what may happen only once the span has passed. */
-    public static long atLeast(double ms) {
-        return ms <= 0 ? 0 : (long) Math.ceil(ms * TENTHS - 1e-6) + 1;
+    /** Rounds a span up, for something that may happen only after it. */
+    public static long ticksAtLeast(double ms) {
+        return ms <= 0 ? 0 : (long) Math.ceil(ms * TICKS_PER_MS - 1e-6) + 1;
     }
 
+    /** Rounds a span to the nearest tick. */
     public static long nearest(double ms) {
-        return Math.round(ms * TENTHS);
+        return Math.round(ms * TICKS_PER_MS);
     }
 
-    public static void write(StringBuilder out, long tenths) {
-        if (tenths < 0) {
-            out.append('-');
+    /** Appends ticks as milliseconds with one decimal place. */
+    public static void appendMs(StringBuilder target, long ticks) {
+        if (ticks < 0) {
+            target.append('-');
         }
-        long size = Math.abs(tenths);
-        out.append(size / 10).append('.').append(size % 10);
+        long magnitude = Math.abs(ticks);
+        target.append(magnitude / 10).append('.').append(magnitude % 10);
     }
 }
--- a/src/test/java/reedspring/adapter/AdapterTest.java
+++ b/src/test/java/reedspring/adapter/AdapterTest.java
@@ -65,7 +65,7 @@
         assertTrue(full > 20 && idle > 2 * full, full + " to the full one, " + idle + " to the idle one");
         assertTrue(refused(frame(1, attach
                 + "CLOSED_ATTEMPT i=3 call=1 copy=0 how=delivered engine=10.0.0.1:7"
-                + " gauge=1,much,2\n")).endsWith("CLOSED_ATTEMPT gauge: 'much' is no number"));
+                + " gauge=1,much,2\n")).endsWith("CLOSED_ATTEMPT gauge: 'much' is not a number"));
     }
 
     @Example
@@ -79,26 +79,26 @@
 
     @Example
     void whatIsMalformedIsNamedByLineAndField() {
-        assertEquals("line 1: HELLO FRAME: a frame has to begin here", refused("HELLO\n"));
-        assertEquals("line 1: FRAME timeMs: 'soon' is no number", refused("FRAME timeMs=soon\n"));
+        assertEquals("line 1: HELLO FRAME: expected the start of a frame", refused("HELLO\n"));
+        assertEquals("line 1: FRAME timeMs: 'soon' is not a number", refused("FRAME timeMs=soon\n"));
         assertEquals("line 2: OVER_TO_YOU: the input ended inside a frame", refused("FRAME timeMs=1\n"));
         assertEquals("line 2: FIRED i: missing", refused(frame(1, "FIRED handle=1\n")));
-        assertEquals("line 6: WORK_ITEM profile: 'walk' is no class of this instance",
+        assertEquals("line 6: WORK_ITEM profile: 'walk' is not a class of this instance",
                 refused(frame(1, ATTACH + QUERY.replace("lookup", "walk"))));
-        assertEquals("line 6: ROSTER_CHANGE setId: no DIRECTORY bears this number",
+        assertEquals("line 6: ROSTER_CHANGE setId: no DIRECTORY has this number",
                 refused(frame(1, ATTACH + "ROSTER_CHANGE i=3 revision=2 mode=update setId=9\n")));
-        assertEquals("line 6: CLOSED_ATTEMPT how: 'lost' is no outcome",
+        assertEquals("line 6: CLOSED_ATTEMPT how: 'lost' is not an outcome",
                 refused(frame(1, ATTACH + "CLOSED_ATTEMPT i=3 call=1 copy=0 how=lost\n")));
     }
 
     @Example
     void roundingTakesTheSideOnWhichNoRuleBreaks() {
-        assertEquals(99, Times.clock(9.999));
-        assertEquals(98, Times.within(9.999));
-        assertEquals(101, Times.atLeast(9.999));
-        assertEquals(0, Times.within(0));
+        assertEquals(99, Times.ticksAt(9.999));
+        assertEquals(98, Times.ticksAtMost(9.999));
+        assertEquals(101, Times.ticksAtLeast(9.999));
+        assertEquals(0, Times.ticksAtMost(0));
         StringBuilder out = new StringBuilder();
-        Times.write(out, -1203);
+        Times.appendMs(out, -1203);
         assertEquals("-120.3", out.toString());
     }
 
@@ -110,7 +110,7 @@
             String out = serve(frame(100, attach + QUERY));
             assertTrue(out.contains("SEND i=3 call=77 engine=10.0.0.1:7"), fronts + ": " + out);
         }
-        assertEquals("line 2: ATTACH fleetSize: 'many' is no number",
+        assertEquals("line 2: ATTACH fleetSize: 'many' is not a number",
                 refused(frame(100, ATTACH.replace("fleetSize=1", "fleetSize=many"))));
     }
 }
