--- a/src/test/java/reedspring/adapter/AdapterTest.java
+++ b/src/test/java/reedspring/adapter/AdapterTest.java
@@ -22,8 +22,8 @@
     private static final String QUERY = "WORK_ITEM i=3 call=77 profile=lookup dataset=4 planCostMs=120.0"
             + " needMb=64 expiresMs=5100.0\n";
 
-    private static String frame(double at, String lines) {
-        return "FRAME timeMs=" + at + "\n" + lines + "OVER_TO_YOU\n";
+    private static String frame(double timeMs, String lines) {
+        return "FRAME timeMs=" + timeMs + "\n" + lines + "OVER_TO_YOU\n";
     }
 
     private static String serve(String input) throws Exception {
@@ -32,12 +32,12 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static String refused(String input) {
+    private static String errorOf(String input) {
         return assertThrows(WireException.class, () -> serve(input)).getMessage();
     }
 
     @Example
-    void aQueryGoesOutAndItsOutcomeEndsIt() throws Exception {
+    void querySentAndEndedByItsOutcome() throws Exception {
         String closed = "CLOSED_ATTEMPT i=3 call=77 copy=0 how=delivered settled=1 elapsedMs=120.0"
                 + " engine=10.0.0.1:7\n";
         String out = serve(frame(0, "") + frame(100, ATTACH + QUERY) + frame(220, closed)
@@ -47,9 +47,9 @@
         assertTrue(out.endsWith("ACK\nACK\nACK\n"), out);
     }
 
-    /** Of two engines alike, the one that has just said it is full is turned to less. */
+    /** Of two equal engines, the one that reports a high load gets fewer queries. */
     @Example
-    void loadReportsAreReadInTheSettingsOrder() throws Exception {
+    void loadReportColumnsFollowTheSettings() throws Exception {
         String attach = ATTACH.replace("novelty", "report.columns=colour,utilization,backlog novelty")
                 .replace("rowsIn=1\n", "rowsIn=2\nENTRY health=up engine=10.0.0.2:7\n");
         StringBuilder frames = new StringBuilder(frame(100, attach));
@@ -63,13 +63,13 @@
         int full = out.split("engine=10.0.0.1:7", -1).length - 1;
         int idle = out.split("engine=10.0.0.2:7", -1).length - 1;
         assertTrue(full > 20 && idle > 2 * full, full + " to the full one, " + idle + " to the idle one");
-        assertTrue(refused(frame(1, attach
+        assertTrue(errorOf(frame(1, attach
                 + "CLOSED_ATTEMPT i=3 call=1 copy=0 how=delivered engine=10.0.0.1:7"
                 + " gauge=1,much,2\n")).endsWith("CLOSED_ATTEMPT gauge: 'much' is not a number"));
     }
 
     @Example
-    void whatIsUnknownIsSkippedAndAReusedListNumberIsReadAnew() throws Exception {
+    void unknownInputIsSkippedAndReusedListNumbersAreReplaced() throws Exception {
         String out = serve(frame(100, ATTACH + "DIRECTORY setId=0 rowsIn=1\n"
                 + "ENTRY health=up engine=10.0.0.2:7\n"
                 + "ROSTER_CHANGE i=3 revision=2 mode=replace setId=0\nWEATHER i=3 rain=1\n"
@@ -78,21 +78,21 @@
     }
 
     @Example
-    void whatIsMalformedIsNamedByLineAndField() {
-        assertEquals("line 1: HELLO FRAME: expected the start of a frame", refused("HELLO\n"));
-        assertEquals("line 1: FRAME timeMs: 'soon' is not a number", refused("FRAME timeMs=soon\n"));
-        assertEquals("line 2: OVER_TO_YOU: the input ended inside a frame", refused("FRAME timeMs=1\n"));
-        assertEquals("line 2: FIRED i: missing", refused(frame(1, "FIRED handle=1\n")));
+    void malformedInputIsReportedByLineAndField() {
+        assertEquals("line 1: HELLO FRAME: expected the start of a frame", errorOf("HELLO\n"));
+        assertEquals("line 1: FRAME timeMs: 'soon' is not a number", errorOf("FRAME timeMs=soon\n"));
+        assertEquals("line 2: OVER_TO_YOU: the input ended inside a frame", errorOf("FRAME timeMs=1\n"));
+        assertEquals("line 2: FIRED i: missing", errorOf(frame(1, "FIRED handle=1\n")));
         assertEquals("line 6: WORK_ITEM profile: 'walk' is not a class of this instance",
-                refused(frame(1, ATTACH + QUERY.replace("lookup", "walk"))));
+                errorOf(frame(1, ATTACH + QUERY.replace("lookup", "walk"))));
         assertEquals("line 6: ROSTER_CHANGE setId: no DIRECTORY has this number",
-                refused(frame(1, ATTACH + "ROSTER_CHANGE i=3 revision=2 mode=update setId=9\n")));
+                errorOf(frame(1, ATTACH + "ROSTER_CHANGE i=3 revision=2 mode=update setId=9\n")));
         assertEquals("line 6: CLOSED_ATTEMPT how: 'lost' is not an outcome",
-                refused(frame(1, ATTACH + "CLOSED_ATTEMPT i=3 call=1 copy=0 how=lost\n")));
+                errorOf(frame(1, ATTACH + "CLOSED_ATTEMPT i=3 call=1 copy=0 how=lost\n")));
     }
 
     @Example
-    void roundingTakesTheSideOnWhichNoRuleBreaks() {
+    void timesRoundToTheSafeSide() {
         assertEquals(99, Times.ticksAt(9.999));
         assertEquals(98, Times.ticksAtMost(9.999));
         assertEquals(101, Times.ticksAtLeast(9.999));
@@ -102,15 +102,15 @@
         assertEquals("-120.3", out.toString());
     }
 
-    /** A number of fronts that can't be counts as one; one that is no number ends the adapter. */
+    /** An impossible number of fronts counts as one; a value that is not a number is an error. */
     @Example
-    void anOddNumberOfFrontsHasADefinedAnswer() throws Exception {
+    void unusualFleetSizesAreAccepted() throws Exception {
         for (String fronts : new String[] {"0", "-3", "1e12", "220"}) {
             String attach = ATTACH.replace("fleetSize=1", "me=500 fleetSize=" + fronts);
             String out = serve(frame(100, attach + QUERY));
             assertTrue(out.contains("SEND i=3 call=77 engine=10.0.0.1:7"), fronts + ": " + out);
         }
         assertEquals("line 2: ATTACH fleetSize: 'many' is not a number",
-                refused(frame(100, ATTACH.replace("fleetSize=1", "fleetSize=many"))));
+                errorOf(frame(100, ATTACH.replace("fleetSize=1", "fleetSize=many"))));
     }
 }
--- a/src/test/java/reedspring/net/CrossingsIT.java
+++ b/src/test/java/reedspring/net/CrossingsIT.java
@@ -25,14 +25,14 @@
 import reedspring.rig.Program;
 
 /**
- * Two events that cross, found in the pre-production hunt: docs/incidents/fault-hunt.md has a row for
- * each.
+ * Races between two events, found by fault injection before production: docs/incidents/fault-hunt.md has a
+ * row for each.
  */
 class CrossingsIT extends Started {
-    private static final byte[] NO_MESSAGEPACK = {(byte) 0xc1, (byte) 0xc1};
+    private static final byte[] INVALID_MESSAGEPACK = {(byte) 0xc1, (byte) 0xc1};
 
-    /** Answers nothing by itself; what it was asked is kept. */
-    private EngineStandIn holding(List<EngineStandIn.Command> held) throws IOException {
+    /** An engine that answers nothing by itself and collects its fetch commands. */
+    private EngineStandIn holdingEngine(List<EngineStandIn.Command> held) throws IOException {
         return open(new EngineStandIn(command -> {
             if (command.word().equals("fetch")) {
                 held.add(command);
@@ -49,47 +49,47 @@
         }
     }
 
-    // ---- a client's connection that the front has to end
+    // ---- a client connection that the front has to close
 
-    /** What was taken before the bytes that can't be read is still owed its answer. */
+    /** Queries accepted before the malformed bytes are still answered. */
     @Example
-    void queriesOnAConnectionWithBrokenFramingGetTheirAnswer() throws Exception {
+    void queriesOnAConnectionWithBrokenFramingAreAnswered() throws Exception {
         List<EngineStandIn.Command> held = new CopyOnWriteArrayList<>();
-        start(holding(held));
+        start(holdingEngine(held));
         Client client = client().send(Client.query(1, Client.trace(), PATIENCE, "a"),
                 Client.query(2, Client.trace(), PATIENCE, "b"));
-        await("both at the engine", () -> held.size() == 2);
-        client.send(NO_MESSAGEPACK);
+        await("both queries at the engine", () -> held.size() == 2);
+        client.send(INVALID_MESSAGEPACK);
         Map<Long, List<?>> answers = client.read(2);
         assertTrue(answers.values().stream().allMatch(answer -> "Shed".equals(Client.error(answer))),
                 answers::toString);
         assertTrue(client.ended());
     }
 
-    /** One that may have run and must not run twice is not called harmless to repeat. */
+    /** A mutating query that may have run must not be reported as safe to retry. */
     @Example
-    void aChangeOnAConnectionWithBrokenFramingIsAnsweredAsFailed() throws Exception {
+    void mutatingQueryOnAConnectionWithBrokenFramingFails() throws Exception {
         List<EngineStandIn.Command> held = new CopyOnWriteArrayList<>();
-        EngineStandIn engine = holding(held);
+        EngineStandIn engine = holdingEngine(held);
         journal = open(new JournalStandIn());
         front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready")))
                 .replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""))).ready();
         Client client = client().send(Client.query(1, Client.trace(), PATIENCE, "insert"));
-        await("it at the engine", () -> held.size() == 1);
-        client.send(NO_MESSAGEPACK);
+        await("the query at the engine", () -> held.size() == 1);
+        client.send(INVALID_MESSAGEPACK);
         assertEquals("Fault", Client.error(client.read()));
         assertTrue(client.ended());
     }
 
-    /** A number that is used twice spoils that number; the others on the connection are answered. */
+    /** A reused request id fails only the queries with that id; the others on the connection are answered. */
     @Example
-    void aNumberUsedTwiceCostsNoOtherQueryItsAnswer() throws Exception {
+    void duplicateIdDoesNotAffectOtherQueries() throws Exception {
         List<EngineStandIn.Command> held = new CopyOnWriteArrayList<>();
-        start(holding(held));
+        start(holdingEngine(held));
         Client client = client().send(Client.query(1, Client.trace(), PATIENCE, "other"),
                 Client.query(2, Client.trace(), PATIENCE, "first"));
-        await("both at the engine", () -> held.size() == 2);
+        await("both queries at the engine", () -> held.size() == 2);
         client.send(Client.query(2, Client.trace(), PATIENCE, "second"));
         Map<Long, List<?>> answers = client.read(2);
         assertEquals("Shed", Client.error(answers.get(1L)));
@@ -97,48 +97,48 @@
         assertTrue(client.ended());
     }
 
-    /** It was cut off after 1.25 s, with the query that was being run for it. */
+    /** Such a client was once disconnected after 1.25 s, and its running query was lost. */
     @Example
-    void aClientThatWritesSlowlyKeepsItsConnectionAndItsQueries() throws Exception {
+    void slowlyWritingClientKeepsItsConnectionAndQueries() throws Exception {
         List<EngineStandIn.Command> held = new CopyOnWriteArrayList<>();
-        EngineStandIn engine = holding(held);
+        EngineStandIn engine = holdingEngine(held);
         start(engine);
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, PATIENCE, "select"));
-        await("it at the engine", () -> held.size() == 1);
+        await("the query at the engine", () -> held.size() == 1);
         byte[] next = Client.query(2, Client.trace(), PATIENCE, "x".repeat(400));
         int pieces = 25;
         for (int k = 0; k < pieces; k++) {
             client.send(Arrays.copyOfRange(next, k * next.length / pieces, (k + 1) * next.length / pieces));
             Thread.sleep(100);
         }
-        await("the second at the engine", () -> held.size() == 2);
+        await("the second query at the engine", () -> held.size() == 2);
         EngineStandIn.pages(1).accept(held.get(0));
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(client.read()));
         EngineStandIn.pages(1).accept(held.get(1));
         assertNotEquals(null, Client.rows(client.read()));
     }
 
-    /** A message that stays half sent ends its connection, but not before what is owed there is answered. */
+    /** An unfinished message closes its connection, but only after the open queries have been answered. */
     @Example
-    void aMessageThatDoesNotEndCostsNoQueryItsAnswer() throws Exception {
+    void unfinishedMessageDoesNotAffectOtherQueries() throws Exception {
         List<EngineStandIn.Command> held = new CopyOnWriteArrayList<>();
-        start(holding(held));
+        start(holdingEngine(held));
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, PATIENCE, "select"));
-        await("it at the engine", () -> held.size() == 1);
+        await("the query at the engine", () -> held.size() == 1);
         client.send(Arrays.copyOf(Client.query(2, Client.trace(), PATIENCE, "select"), 30));
         Thread.sleep(2_500);
         EngineStandIn.pages(1).accept(held.get(0));
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(client.read()));
-        assertTrue(client.ended(), "what never ends is given up");
+        assertTrue(client.ended(), "the unfinished message is given up");
     }
 
-    // ---- discovery
+    // ---- the journal
 
-    /** Each call was given up after 1.8 s of silence, so a service that takes longer was never heard. */
+    /** Each subscription was dropped after 1.8 s of silence, so a slower service was never followed. */
     @Example
-    void aServiceThatAnswersEachCallLateIsHeard() throws Exception {
+    void slowJournalIsFollowed() throws Exception {
         EngineStandIn first = engine(1);
         EngineStandIn second = engine(1);
         journal = open(new JournalStandIn());
@@ -150,12 +150,12 @@
                 event(1, true, host("e0", first.address(), "ready"))))).ready();
         await("the new engine in use", () -> served() && !second.seen("fetch").isEmpty());
         long tookMs = (System.nanoTime() - began) / 1_000_000;
-        assertTrue(tookMs < 7_000, "it counts as told after 7 s: " + tookMs);
+        assertTrue(tookMs < 7_000, "the list has to be in effect after 7 s: " + tookMs);
     }
 
-    /** The same event came with each call, and nothing behind it was ever heard. */
+    /** The malformed event came again with each subscription, and no later event was ever read. */
     @Example
-    void anEventThatCanNeverBeReadHidesNothingBehindIt() throws Exception {
+    void malformedEventDoesNotBlockLaterEvents() throws Exception {
         EngineStandIn first = engine(1);
         EngineStandIn second = engine(1);
         journal = open(new JournalStandIn());
@@ -167,28 +167,28 @@
         await("the new engine in use", () -> served() && !second.seen("fetch").isEmpty());
         int before = first.seen("fetch").size();
         serves();
-        assertEquals(before, first.seen("fetch").size(), "sent to an engine that drains");
+        assertEquals(before, first.seen("fetch").size(), "sent to a draining engine");
     }
 
-    /** The file is away for a moment just when it is to be read again, and no further signal comes. */
+    /** The configuration file is missing when SIGHUP arrives, and no further signal follows. */
     @Example
-    void aReloadWhoseFileCanNotBeReadForAMomentIsNotLost() throws Exception {
+    void reloadIsRetriedWhileTheFileIsMissing() throws Exception {
         start(engine(1));
         JournalStandIn next = open(new JournalStandIn());
         Path away = Files.createTempFile("reedspring", ".next");
         Files.writeString(away, Program.config(front.listen, next.address()));
         Files.delete(front.file());
         front.signal("-HUP");
-        await("its line", () -> front.logged("configuration can't be used, nothing changed"));
+        await("the log line", () -> front.logged("configuration can't be used, nothing changed"));
         Files.move(away, front.file(), StandardCopyOption.REPLACE_EXISTING);
-        await("the call at the new address", () -> !next.calledFrom.isEmpty());
+        await("the subscription at the new address", () -> !next.calledFrom.isEmpty());
     }
 
     // ---- start and submissions
 
-    /** The process before may not have gone yet when the next is started. */
+    /** The previous process may still be running when the next one starts. */
     @Example
-    void anAddressThatIsTakenForAMomentIsWaitedFor() throws Exception {
+    void startWaitsForAnAddressInUse() throws Exception {
         String listen = Program.freeAddress();
         journal = open(new JournalStandIn());
         EngineStandIn engine = engine(1);
@@ -197,7 +197,7 @@
                 1, InetAddress.getLoopbackAddress())) {
             front = open(new Program(Program.config(listen, journal.address(),
                     event(1, true, host("e0", engine.address(), "ready")))));
-            await("the journal's call", () -> !journal.calledFrom.isEmpty() || !front.process.isAlive());
+            await("the subscription", () -> !journal.calledFrom.isEmpty() || !front.process.isAlive());
             Thread.sleep(500);
             assertTrue(before.isBound());
         }
@@ -205,9 +205,9 @@
         serves();
     }
 
-    /** A change that never left the front was answered as if it might have run. */
+    /** A mutating query that was never sent was answered as if it might have run. */
     @Example
-    void aChangeThatNeverLeftIsSafeToTryAgain() throws Exception {
+    void unsentMutatingQueryIsSafeToRetry() throws Exception {
         EngineStandIn late = open(EngineStandIn.late(EngineStandIn.pages(1)));
         journal = open(new JournalStandIn());
         front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
--- a/src/test/java/reedspring/net/ListSizeTest.java
+++ b/src/test/java/reedspring/net/ListSizeTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Example;
 import reedspring.rig.JournalStandIn;
 
-/** How long a list may be that comes as one event: docs/CAPACITY.md says what follows from it. */
+/** How many rows fit an engine list in one event; docs/CAPACITY.md tells what follows from that. */
 class ListSizeTest {
     private static byte[] event(int rows) {
         String[] hosts = IntStream.range(0, rows).mapToObj(k -> JournalStandIn.host(
@@ -18,26 +18,26 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** What the bound holds for: the event's line of data. */
-    private static int line(int rows) {
+    /** The length of the event's data line, which the limit applies to. */
+    private static int dataLineLength(int rows) {
         return event(rows).length - "id: 1\n\n\n".length();
     }
 
-    /** The greatest list that the bound lets pass is read with all its rows, one row more not at all. */
+    /** The largest list within the limit is read with all its rows; with one more row it is dropped. */
     @Example
-    void aWholeListIsReadUpToTheBoundOfAnEventAndNotPastIt() throws Exception {
-        int most = JournalReading.most();
+    void listIsReadUpToTheEventSizeLimitOnly() throws Exception {
+        int maxEventBytes = JournalReading.most();
         int rows = 0;
         for (int step = 1 << 16; step > 0; step >>= 1) {
-            rows += line(rows + step) <= most ? step : 0;
+            rows += dataLineLength(rows + step) <= maxEventBytes ? step : 0;
         }
         JournalReading reading = new JournalReading();
-        assertEquals(rows, reading.read(event(rows), most));
-        assertEquals(-1, reading.read(event(rows + 1), most));
+        assertEquals(rows, reading.read(event(rows), maxEventBytes));
+        assertEquals(-1, reading.read(event(rows + 1), maxEventBytes));
     }
 
     @Example
-    void listsOfNoneOneAndManyRowsAreRead() {
+    void listsOfAnySizeAreRead() {
         for (int rows : new int[] {0, 1, 100_000}) {
             assertEquals(rows, new JournalReading().read(event(rows), Integer.MAX_VALUE));
         }
--- a/src/test/java/reedspring/net/WholeMessagesTest.java
+++ b/src/test/java/reedspring/net/WholeMessagesTest.java
@@ -18,36 +18,36 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** Memory is lacking for one part of a message: nothing of it is written, and what follows is whole. */
+/** If memory for one part of a message is lacking, none of it is written, and the next message is whole. */
 class WholeMessagesTest {
     private static final String COMMAND = "*3\r\n$5\r\nfetch\r\n$2\r\nid\r\n$6\r\nselect\r\n";
-    private static final int PARTS = 16;
+    private static final int ALLOCATIONS = 16;
 
-    /** Gives no memory for one of its buffers. */
-    private static final class Lacking extends AbstractByteBufAllocator {
-        private int left;
+    /** Fails one allocation, counted from 0. */
+    private static final class FailingAllocator extends AbstractByteBufAllocator {
+        private int remaining;
 
-        Lacking(int which) {
+        FailingAllocator(int failingAllocation) {
             super(true);
-            left = which;
+            remaining = failingAllocation;
         }
 
-        private void count() {
-            if (left-- == 0) {
+        private void countAllocation() {
+            if (remaining-- == 0) {
                 throw new OutOfMemoryError("forced");
             }
         }
 
         @Override
-        protected ByteBuf newHeapBuffer(int initial, int most) {
-            count();
-            return UnpooledByteBufAllocator.DEFAULT.heapBuffer(initial, most);
+        protected ByteBuf newHeapBuffer(int initialCapacity, int maxCapacity) {
+            countAllocation();
+            return UnpooledByteBufAllocator.DEFAULT.heapBuffer(initialCapacity, maxCapacity);
         }
 
         @Override
-        protected ByteBuf newDirectBuffer(int initial, int most) {
-            count();
-            return UnpooledByteBufAllocator.DEFAULT.directBuffer(initial, most);
+        protected ByteBuf newDirectBuffer(int initialCapacity, int maxCapacity) {
+            countAllocation();
+            return UnpooledByteBufAllocator.DEFAULT.directBuffer(initialCapacity, maxCapacity);
         }
 
         @Override
@@ -75,41 +75,41 @@
     }
 
     @Example
-    void aCommandToAnEngineIsWrittenWholeOrNotAtAll() {
+    void engineCommandIsWrittenWholeOrNotAtAll() {
         int failed = 0;
-        for (int which = 0; which < PARTS; which++) {
+        for (int failingAllocation = 0; failingAllocation < ALLOCATIONS; failingAllocation++) {
             EmbeddedChannel channel = new EmbeddedChannel();
-            channel.config().setAllocator(new Lacking(which));
+            channel.config().setAllocator(new FailingAllocator(failingAllocation));
             channel.pipeline().addLast(new WholeCommandEncoder());
             channel.write(command());
             channel.flush();
             String first = written(channel);
-            assertTrue(first.isEmpty() || first.equals(COMMAND), which + ": " + first);
+            assertTrue(first.isEmpty() || first.equals(COMMAND), failingAllocation + ": " + first);
             if (first.isEmpty()) {
                 failed++;
                 channel.writeOutbound(command());
                 assertEquals(COMMAND, written(channel));
             }
         }
-        assertTrue(failed > 2, failed + " of " + PARTS + " failed");
+        assertTrue(failed > 2, failed + " of " + ALLOCATIONS + " failed");
     }
 
     @Example
-    void aResultIsMadeWholeOrNotAtAllAndThePagesStayTheirOwners() {
+    void resultIsEncodedWholeOrNotAtAllAndPagesAreNotReleased() {
         List<ByteBuf> pages = List.of(bytes("a\tb\tc\n"), bytes("d\te\tf\n"));
-        String whole = ByteBufUtil.hexDump(RpcWriter.rows(UnpooledByteBufAllocator.DEFAULT, 7, pages));
+        String expected = ByteBufUtil.hexDump(RpcWriter.rows(UnpooledByteBufAllocator.DEFAULT, 7, pages));
         int failed = 0;
-        for (int which = 0; which < PARTS; which++) {
-            Lacking buffers = new Lacking(which);
-            int before = pages.get(0).refCnt();
-            if (which < 2) {
-                assertThrows(OutOfMemoryError.class, () -> RpcWriter.rows(buffers, 7, pages));
+        for (int failingAllocation = 0; failingAllocation < ALLOCATIONS; failingAllocation++) {
+            FailingAllocator allocator = new FailingAllocator(failingAllocation);
+            int refCountBefore = pages.get(0).refCnt();
+            if (failingAllocation < 2) {
+                assertThrows(OutOfMemoryError.class, () -> RpcWriter.rows(allocator, 7, pages));
                 failed++;
-                assertEquals(before, pages.get(0).refCnt());
+                assertEquals(refCountBefore, pages.get(0).refCnt());
             } else {
-                ByteBuf made = RpcWriter.rows(buffers, 7, pages);
-                assertEquals(whole, ByteBufUtil.hexDump(made));
-                made.release();
+                ByteBuf result = RpcWriter.rows(allocator, 7, pages);
+                assertEquals(expected, ByteBufUtil.hexDump(result));
+                result.release();
             }
         }
         assertEquals(2, failed);
