--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -47,7 +47,7 @@
             if (!frame.hasName("FRAME")) {
                 throw frame.malformed("FRAME", "expected the start of a frame");
             }
-            now = Times.ticksAt(frame.lineNumber("timeMs"));
+            now = Times.ticksAt(frame.number("timeMs"));
             reply.setLength(0);
             for (Line line = readFrameLine(); !line.hasName("OVER_TO_YOU"); line = readFrameLine()) {
                 handle(line);
@@ -144,8 +144,8 @@
             String kind = row.find("flavor");
             entries.add(new Event.Listing(new Id.Engine(row.text("engine")),
                     new Id.Kind(kind == null ? "" : kind), new Id.Zone(zone == null ? "" : zone),
-                    new Id.Cell((long) row.lineNumber("cluster", 0)), parseHealth(row),
-                    Times.ticksAt(row.lineNumber("launchedMs", 0))));
+                    new Id.Cell((long) row.number("cluster", 0)), parseHealth(row),
+                    Times.ticksAt(row.number("launchedMs", 0))));
         }
         directories.put(setId, entries);
     }
@@ -189,10 +189,10 @@
         String key = line.find("target");
         String set = line.find("dataset");
         return new Event.Taken(parseQuery(line), group, boot.tenant(line.find("realm")),
-                set == null ? Id.DataSet.UNKNOWN : new Id.DataSet((long) line.lineNumber("dataset", set)),
-                Times.nearest(Math.max(0, line.lineNumber("planCostMs", 0))),
-                Math.max(0, line.lineNumber("needMb", 0)),
-                Times.ticksAt(line.lineNumber("expiresMs")), key == null ? null : new Id.OrderKey(key));
+                set == null ? Id.DataSet.UNKNOWN : new Id.DataSet((long) line.number("dataset", set)),
+                Times.nearest(Math.max(0, line.number("planCostMs", 0))),
+                Math.max(0, line.number("needMb", 0)),
+                Times.ticksAt(line.number("expiresMs")), key == null ? null : new Id.OrderKey(key));
     }
 
     private Event parseListed(Line line) throws WireException {
@@ -216,7 +216,7 @@
 
     private static Event parseNote(Line line) throws WireException {
         return line.integer("topic") != 1 ? null
-                : new Event.ShareDone(parseQuery(line), parseSubmission(line), line.lineNumber("amount"), 0);
+                : new Event.ShareDone(parseQuery(line), parseSubmission(line), line.number("amount"), 0);
     }
 
     /** The load report in a line, or null. Its values are in the order of {@code report.columns}. */
@@ -230,7 +230,7 @@
         String[] values = gauge.split(",");
         List<String> columns = boot.reportColumns();
         for (int k = 0; k < Math.min(values.length, columns.size()); k++) {
-            load = load.with(columns.get(k), line.lineNumber("gauge", values[k]));
+            load = load.with(columns.get(k), line.number("gauge", values[k]));
         }
         return new Event.LoadReported(new Id.Engine(engine), load);
     }
@@ -252,7 +252,7 @@
         // The bits above the lowest 12 of the note hold the work in milliseconds.
         long noteValue = note == null || outcome != Event.Outcome.FINISHED ? 0 : line.integer("note", note);
         return new Event.Closed(parseQuery(line), parseSubmission(line), outcome, line.flag("settled"),
-                Times.nearest(line.lineNumber("elapsedMs", 0)), 0, (noteValue >> 12) * 10);
+                Times.nearest(line.number("elapsedMs", 0)), 0, (noteValue >> 12) * 10);
     }
 
     private void write(int instance, List<Action> actions) {
--- a/src/main/java/reedspring/adapter/Line.java
+++ b/src/main/java/reedspring/adapter/Line.java
@@ -40,7 +40,7 @@
         return new WireException(lineNumber, name() + " " + field + ": " + reason);
     }
 
-    /** The value of a field, or null if it is absent. */
+    /** The value of a field among the first 16, or null if it is absent. */
     String find(String field) {
         for (int k = 0; k < fieldCount; k++) {
             int start = fieldStarts[k];
@@ -73,16 +73,16 @@
         }
     }
 
-    double lineNumber(String field) throws WireException {
-        return lineNumber(field, text(field));
+    double number(String field) throws WireException {
+        return number(field, text(field));
     }
 
-    double lineNumber(String field, double defaultValue) throws WireException {
+    double number(String field, double defaultValue) throws WireException {
         String value = find(field);
-        return value == null ? defaultValue : lineNumber(field, value);
+        return value == null ? defaultValue : number(field, value);
     }
 
-    double lineNumber(String field, String value) throws WireException {
+    double number(String field, String value) throws WireException {
         try {
             double parsed = Double.parseDouble(value);
             if (!Double.isInfinite(parsed) && !Double.isNaN(parsed)) {
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -51,8 +51,8 @@
     private final Rows rowValidator;
     private final SocketReads socketReads = new SocketReads();
     private Channel channel;
-    private long decodedAtLastTick;
-    private int stalledTicks;
+    private long decodedAtLastCheck;
+    private int stalledChecks;
     private boolean connected;
     private boolean everSent;
     private boolean retired;
@@ -280,15 +280,15 @@
     }
 
     /**
-     * Whether an answer has stayed incomplete for several ticks. Everything that follows would be read as its
-     * remainder, so no submission on this connection could finish any more.
+     * Whether an answer has stayed incomplete for several checks. Everything that follows would be read as
+     * its remainder, so no submission on this connection could finish any more.
      */
     private boolean answerStalled() {
         boolean unchanged = socketReads.bytes() != decoder.decodedBytes()
-                && decodedAtLastTick == decoder.decodedBytes();
-        decodedAtLastTick = decoder.decodedBytes();
-        stalledTicks = unchanged ? stalledTicks + 1 : 0;
-        return stalledTicks > limits.partTicks;
+                && decodedAtLastCheck == decoder.decodedBytes();
+        decodedAtLastCheck = decoder.decodedBytes();
+        stalledChecks = unchanged ? stalledChecks + 1 : 0;
+        return stalledChecks > limits.partTicks;
     }
 
     private void close() {
@@ -408,7 +408,7 @@
             throw new CorruptedFrameException("invalid page count " + pageCount + " of a result");
         }
         if (s == null || s.pages != null) {
-            // Writes nothing more to an engine that sends without reading once the write buffer is full.
+            // If the engine sends but doesn't read, nothing more is written once the write buffer is full.
             if (s == null && pageCount > 1 && late && channel.isWritable()) {
                 sendCommand("done", answer.id());
             }
--- a/src/main/java/reedspring/net/Engines.java
+++ b/src/main/java/reedspring/net/Engines.java
@@ -33,6 +33,7 @@
         private Host host;
         private boolean up;
         private boolean gone;
+        /** The count of lists received when the engine was last named. */
         private long lastListedIn;
         private final List<EngineConnection> connections = new ArrayList<>(0);
     }
@@ -135,22 +136,22 @@
         if (connectionCount < limits.allEngineConnections) {
             return true;
         }
-        EnginePool idlestPool = null;
-        EngineConnection idlest = null;
+        EnginePool longestIdlePool = null;
+        EngineConnection longestIdle = null;
         for (EnginePool pool : connectedPools) {
             for (EngineConnection connection : pool.connections) {
-                if (connection.isIdle() && (idlest == null
-                        || connection.lastUsedAt() < idlest.lastUsedAt())) {
-                    idlestPool = pool;
-                    idlest = connection;
+                if (connection.isIdle() && (longestIdle == null
+                        || connection.lastUsedAt() < longestIdle.lastUsedAt())) {
+                    longestIdlePool = pool;
+                    longestIdle = connection;
                 }
             }
         }
-        if (idlest != null) {
-            idlest.retire();
-            onConnectionEnded(idlestPool, idlest);
+        if (longestIdle != null) {
+            longestIdle.retire();
+            onConnectionEnded(longestIdlePool, longestIdle);
         }
-        return idlest != null;
+        return longestIdle != null;
     }
 
     @Override
--- a/src/main/java/reedspring/net/HostRow.java
+++ b/src/main/java/reedspring/net/HostRow.java
@@ -17,7 +17,7 @@
         private final Map<String, Id.Zone> zones = new HashMap<>();
         private final Map<Long, Id.Cell> cells = new HashMap<>();
         private final int maxRows;
-        private int rows;
+        private int rowCount;
 
         /** @param maxRows rows to read; further rows are only counted */
         Reader(int maxRows) {
@@ -27,28 +27,28 @@
         /** Returns null for rows past the maximum. */
         @Override
         public HostRow map(Map<?, ?> host) throws BootException {
-            if (++rows > maxRows) {
+            if (++rowCount > maxRows) {
                 return null;
             }
             return new HostRow(new Id.Engine(Json.text(host, "host")),
                     kinds.computeIfAbsent(optional(host, "class"), Id.Kind::new),
                     zones.computeIfAbsent(optional(host, "site"), Id.Zone::new),
                     cells.computeIfAbsent(Json.whole(host, "block", 0), Id.Cell::new),
-                    health(Json.text(host, "health")),
+                    parseHealth(Json.text(host, "health")),
                     FrontConfiguration.address(Json.text(host, "dial"), "dial"),
                     Json.whole(host, "born_ms", 0));
         }
 
         /** The number of rows seen, including those past the maximum. */
-        int rows() {
-            return rows;
+        int rowCount() {
+            return rowCount;
         }
 
         private static String optional(Map<?, ?> host, String field) {
             return host.get(field) instanceof String text ? text : "";
         }
 
-        private static Health health(String state) throws BootException {
+        private static Health parseHealth(String state) throws BootException {
             return switch (state) {
                 case "ready" -> Health.UP;
                 case "draining" -> Health.DRAINING;
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -80,7 +80,7 @@
             Map<?, ?> event = Json.map(entry, "known.entries");
             if (event.get("hosts") != null) {
                 Map<?, ?> list = Json.map(event.get("hosts"), "known.entries.hosts");
-                applyList(isComplete(list), hosts(list, NEVER_RECEIVED));
+                applyList(isComplete(list), parseHosts(list, NEVER_RECEIVED));
             }
         }
         position = Json.whole(configured, "pos", 0);
@@ -307,14 +307,14 @@
      */
     private boolean handleEvent(String id, byte[] data, int length, long lastReceived) throws IOException,
             BootException {
-        HostRow.Reader rows = new HostRow.Reader(limits.engines);
-        Map<?, ?> event = Json.map(Json.read(data, length, "hosts.hosts", rows), "event");
+        HostRow.Reader rowReader = new HostRow.Reader(limits.engines);
+        Map<?, ?> event = Json.map(Json.read(data, length, "hosts.hosts", rowReader), "event");
         long eventNumber = id.isEmpty() ? Json.whole(event, "pos", 0) : Json.whole(Map.of("id", id), "id", 0);
         if (eventNumber <= position) {
             return true;
         }
-        if (rows.rows() > limits.engines) {
-            skipOversized("journal list of too many engines, ignored", rows.rows(), limits.engines);
+        if (rowReader.rowCount() > limits.engines) {
+            skipOversized("journal list of too many engines, ignored", rowReader.rowCount(), limits.engines);
             return true;
         }
         Map<?, ?> list = event.get("hosts") == null ? null : Json.map(event.get("hosts"), "hosts");
@@ -327,7 +327,7 @@
             }
             // Still missing after a second request: an incomplete list is better than an outdated one.
         }
-        Map<Id.Engine, Host> hosts = list == null ? Map.of() : hosts(list, lastReceived);
+        Map<Id.Engine, Host> hosts = list == null ? Map.of() : parseHosts(list, lastReceived);
         gapRetried = false;
         position = eventNumber;
         if (list != null) {
@@ -406,7 +406,7 @@
     }
 
     /** Engines by name; if a name occurs twice, only the last entry counts. */
-    private Map<Id.Engine, Host> hosts(Map<?, ?> list, long lastReceived) throws BootException {
+    private Map<Id.Engine, Host> parseHosts(Map<?, ?> list, long lastReceived) throws BootException {
         Map<Id.Engine, Host> hosts = new LinkedHashMap<>();
         for (Object entry : Json.list(list.get("hosts"), "hosts")) {
             if (!(entry instanceof HostRow row)) {
--- a/src/main/java/reedspring/net/Json.java
+++ b/src/main/java/reedspring/net/Json.java
@@ -48,7 +48,7 @@
     private static Object read(JsonParser parser, String path, ElementMapper mapper)
             throws IOException, BootException {
         try (parser) {
-            Object value = value(parser, parser.nextToken(), path == null ? null : "." + path, mapper);
+            Object value = parseValue(parser, parser.nextToken(), path == null ? null : "." + path, mapper);
             if (parser.nextToken() != null) {
                 throw new IOException("unexpected text after the end of the document");
             }
@@ -57,20 +57,20 @@
     }
 
     /** Parses a value. {@code path} is the path that remains from here, null if the value is not on it. */
-    private static Object value(JsonParser parser, JsonToken token, String path, ElementMapper mapper)
+    private static Object parseValue(JsonParser parser, JsonToken token, String path, ElementMapper mapper)
             throws IOException, BootException {
         if (token == JsonToken.START_OBJECT) {
             Map<String, Object> map = new LinkedHashMap<>();
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
-                map.put(name, value(parser, parser.nextToken(), remainingPath(path, name), mapper));
+                map.put(name, parseValue(parser, parser.nextToken(), remainingPath(path, name), mapper));
             }
             return map;
         }
         if (token == JsonToken.START_ARRAY) {
             List<Object> list = new ArrayList<>();
             while (parser.nextToken() != JsonToken.END_ARRAY) {
-                Object element = value(parser, parser.currentToken(), path, mapper);
+                Object element = parseValue(parser, parser.currentToken(), path, mapper);
                 list.add("".equals(path) && element instanceof Map<?, ?> map ? mapper.map(map) : element);
             }
             return list;
