--- a/src/test/java/reedspring/net/EndingsIT.java
+++ b/src/test/java/reedspring/net/EndingsIT.java
@@ -275,7 +275,7 @@
         }
     }
 
-    /** The loop accepts 16 connections per iteration, and was paused until after the time of serving on. */
+    /** The loop accepts 16 connections per iteration, and was paused for longer than it keeps serving. */
     @Example
     void unacceptedConnectionsAreServedBeforeShutdown() throws Exception {
         start(engine(1));
@@ -595,7 +595,7 @@
 
     // ---- the journal subscription
 
-    /** Clients use up their share of descriptors while the journal is down; it must still find one. */
+    /** Clients use up their share of descriptors while the journal is down; its connection must still get one. */
     @Example
     void idleClientsLeaveDescriptorsForJournalAndEngines() throws Exception {
         int maxDescriptors = 160;
