--- a/src/test/java/reedspring/net/EndingsIT.java
+++ b/src/test/java/reedspring/net/EndingsIT.java
@@ -595,7 +595,7 @@
 
     // ---- the journal subscription
 
-    /** Clients use up their share of descriptors while the journal is down; its connection must still get one. */
+    /** Clients use up their share of descriptors while the journal is down; its connection must get one. */
     @Example
     void idleClientsLeaveDescriptorsForJournalAndEngines() throws Exception {
         int maxDescriptors = 160;
