--- a/src/main/java/reedspring/spool/Handles.java
+++ b/src/main/java/reedspring/spool/Handles.java
@@ -19,18 +19,18 @@
  */
 public final class Handles {
     private static final byte VERSION = 1;
-    private static final int OPEN_BYTES = 1 + 1 + 1 + 16 + 8;
-    private static final int SEAL_BYTES = 16;
-    private static final int LEAST_KEY_BYTES = 16;
-    private static final String SEAL = "HmacSHA256";
+    private static final int PAYLOAD_BYTES = 1 + 1 + 1 + 16 + 8;
+    private static final int MAC_BYTES = 16;
+    private static final int MIN_KEY_BYTES = 16;
+    private static final String MAC_ALGORITHM = "HmacSHA256";
 
     private final List<byte[]> keys;
     private final byte[] front;
 
     /** @throws IllegalArgumentException without a key, or with one of under 16 bytes */
     public Handles(String front, List<byte[]> keys) {
-        if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < LEAST_KEY_BYTES)) {
-            throw new IllegalArgumentException("a key of at least " + LEAST_KEY_BYTES + " bytes is needed");
+        if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
+            throw new IllegalArgumentException("a key of at least " + MIN_KEY_BYTES + " bytes is needed");
         }
         this.front = front.getBytes(StandardCharsets.UTF_8);
         this.keys = keys.stream().map(byte[]::clone).toList();
@@ -38,52 +38,52 @@
 
     public String write(Handle handle) {
         byte[] key = keys.get(0);
-        ByteBuffer out = ByteBuffer.allocate(OPEN_BYTES + SEAL_BYTES);
-        out.put(VERSION).put(nameOf(key)).put((byte) (handle.repeatable() ? 1 : 0))
+        ByteBuffer encoded = ByteBuffer.allocate(PAYLOAD_BYTES + MAC_BYTES);
+        encoded.put(VERSION).put(keyHint(key)).put((byte) (handle.repeatable() ? 1 : 0))
                 .putLong(handle.answer().high()).putLong(handle.answer().low()).putLong(handle.expiresAt());
-        out.put(seal(key, out.array(), handle.tenant()));
-        return Base64.getUrlEncoder().withoutPadding().encodeToString(out.array());
+        encoded.put(mac(key, encoded.array(), handle.tenant()));
+        return Base64.getUrlEncoder().withoutPadding().encodeToString(encoded.array());
     }
 
     /** Null for what is no handle of this front for this tenant. */
     public Handle read(String text, String tenant) {
-        byte[] all;
+        byte[] encoded;
         try {
-            all = Base64.getUrlDecoder().decode(text);
+            encoded = Base64.getUrlDecoder().decode(text);
         } catch (IllegalArgumentException e) {
             return null;
         }
-        if (all.length != OPEN_BYTES + SEAL_BYTES || all[0] != VERSION) {
+        if (encoded.length != PAYLOAD_BYTES + MAC_BYTES || encoded[0] != VERSION) {
             return null;
         }
-        byte[] claimed = Arrays.copyOfRange(all, OPEN_BYTES, all.length);
+        byte[] receivedMac = Arrays.copyOfRange(encoded, PAYLOAD_BYTES, encoded.length);
         for (byte[] key : keys) {
-            if (nameOf(key) == all[1] && MessageDigest.isEqual(seal(key, all, tenant), claimed)) {
-                ByteBuffer in = ByteBuffer.wrap(all, 2, OPEN_BYTES - 2);
-                boolean repeatable = in.get() == 1;
-                return new Handle(new AnswerId(in.getLong(), in.getLong()), tenant, repeatable, in.getLong());
+            if (keyHint(key) == encoded[1] && MessageDigest.isEqual(mac(key, encoded, tenant), receivedMac)) {
+                ByteBuffer payload = ByteBuffer.wrap(encoded, 2, PAYLOAD_BYTES - 2);
+                boolean repeatable = payload.get() == 1;
+                return new Handle(new AnswerId(payload.getLong(), payload.getLong()), tenant, repeatable, payload.getLong());
             }
         }
         return null;
     }
 
-    private byte[] seal(byte[] key, byte[] open, String tenant) {
+    private byte[] mac(byte[] key, byte[] encoded, String tenant) {
         try {
-            Mac mac = Mac.getInstance(SEAL);
-            mac.init(new SecretKeySpec(key, SEAL));
-            mac.update(open, 0, OPEN_BYTES);
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
+            mac.init(new SecretKeySpec(key, MAC_ALGORITHM));
+            mac.update(encoded, 0, PAYLOAD_BYTES);
             // Lengths, so that no front's name and tenant read as another pair's.
             mac.update(ByteBuffer.allocate(Integer.BYTES).putInt(front.length).array());
             mac.update(front);
             mac.update(tenant.getBytes(StandardCharsets.UTF_8));
-            return Arrays.copyOf(mac.doFinal(), SEAL_BYTES);
+            return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** A hint at the key, so that a handle is mostly tried with one. */
-    private static byte nameOf(byte[] key) {
+    private static byte keyHint(byte[] key) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(key)[0];
         } catch (GeneralSecurityException e) {
--- a/src/main/java/reedspring/spool/Step.java
+++ b/src/main/java/reedspring/spool/Step.java
@@ -9,21 +9,21 @@
     }
 
     /** There is no room for the answer; it is never asked for again. {@code comeBack}: when there may be. */
-    record Refuse(Id.Query query, String why, long comeBack) implements Step {
+    record Refuse(Id.Query query, String why, long retryAfter) implements Step {
     }
 
     /** Wanted from the engine. */
     record AskPage(AnswerId answer, int page) implements Step {
     }
 
-    record Open(long segment) implements Step {
+    record OpenSegment(long segment) implements Step {
     }
 
     record Write(AnswerId answer, long segment, int page) implements Step {
     }
 
     /** After its pages are written: makes them last. */
-    record Commit(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
+    record CommitAnswer(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
                   long expiresAt) implements Step {
     }
 
@@ -35,7 +35,7 @@
     record Lost(Id.Query query, AnswerId answer, String why) implements Step {
     }
 
-    record ReadPage(long reader, AnswerId answer, long segment, int page) implements Step {
+    record ReadPage(long readId, AnswerId answer, long segment, int page) implements Step {
     }
 
     /** What a client that asks for a page or a release is told instead. */
@@ -43,17 +43,17 @@
     }
 
     /** Not wanted any more, and not to come back after a restart. */
-    record Drop(AnswerId answer, long segment) implements Step {
+    record DropAnswer(AnswerId answer, long segment) implements Step {
     }
 
     /** Takes no more; its index is written. */
-    record Seal(long segment) implements Step {
+    record SealSegment(long segment) implements Step {
     }
 
-    record Delete(long segment) implements Step {
+    record DeleteSegment(long segment) implements Step {
     }
 
-    record Move(AnswerId answer, long from, long to) implements Step {
+    record MoveAnswer(AnswerId answer, long sourceSegment, long targetSegment) implements Step {
     }
 
     record Remark(String text) implements Step {
--- a/src/main/java/reedspring/spool/Terms.java
+++ b/src/main/java/reedspring/spool/Terms.java
@@ -17,17 +17,17 @@
  * @param firstRest how long nothing is begun after the disk has failed; doubled each time up to
  *     {@code longestRest}
  */
-public record Terms(long total, double tenantPart, double headroom, long keepFor, long longestAnswer,
-                    int pageBytes, long segmentBytes, long inMemory, int reads, int tenantReads,
-                    long firstRest, long longestRest) {
+public record Terms(long total, double tenantPart, double headroomRatio, long keepFor, long maxAnswerBytes,
+                    int pageBytes, long segmentBytes, long inMemory, int reads, int maxReadsPerTenant,
+                    long initialBackoff, long maxBackoff) {
     /** What the format adds at most: to a page, to an answer, to a segment, and for an answer given up. */
-    public static final int PAGE_EXTRA = 48;
-    public static final int ANSWER_EXTRA = 768;
-    public static final int SEGMENT_EXTRA = 640;
-    public static final int DROP_EXTRA = 64;
+    public static final int PAGE_OVERHEAD_BYTES = 48;
+    public static final int ANSWER_OVERHEAD_BYTES = 768;
+    public static final int SEGMENT_OVERHEAD_BYTES = 640;
+    public static final int DROP_OVERHEAD_BYTES = 64;
 
     /** What an answer of so many pages may take. */
-    public long most(int pages) {
-        return (long) pages * (pageBytes + PAGE_EXTRA) + ANSWER_EXTRA;
+    public long maxDiskBytes(int pages) {
+        return (long) pages * (pageBytes + PAGE_OVERHEAD_BYTES) + ANSWER_OVERHEAD_BYTES;
     }
 }
--- a/src/main/java/reedspring/spool/store/Disk.java
+++ b/src/main/java/reedspring/spool/store/Disk.java
@@ -18,7 +18,7 @@
     In open(String name) throws IOException;
 
     /** Takes the place of a file of that name. */
-    void rename(String from, String to) throws IOException;
+    void rename(String source, String target) throws IOException;
 
     void delete(String name) throws IOException;
 
@@ -40,6 +40,6 @@
         long size() throws IOException;
 
         /** Fills the buffer from that place on, or as far as the file goes. */
-        void read(ByteBuffer into, long at) throws IOException;
+        void read(ByteBuffer buffer, long position) throws IOException;
     }
 }
--- a/src/main/java/reedspring/spool/store/FileDisk.java
+++ b/src/main/java/reedspring/spool/store/FileDisk.java
@@ -14,30 +14,30 @@
 
 /** A folder of the machine's, held by one process at a time. */
 public final class FileDisk implements Disk {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
-    private final FileChannel lock;
+    private final FileChannel lockFile;
 
     /** With {@code alone} false it is looked at beside a front that holds it. */
-    public FileDisk(Path folder, boolean alone) throws IOException {
+    public FileDisk(Path folder, boolean exclusive) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new IOException(folder + " is no folder");
         }
         this.folder = folder;
-        this.lock = alone ? hold(folder) : null;
+        this.lockFile = exclusive ? acquireLock(folder) : null;
     }
 
-    private static FileChannel hold(Path folder) throws IOException {
-        FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
+    private static FileChannel acquireLock(Path folder) throws IOException {
+        FileChannel channel = FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
-        FileLock held = null;
+        FileLock lock = null;
         try {
-            held = channel.tryLock();
+            lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
             // by this very process
         }
-        if (held == null) {
+        if (lock == null) {
             channel.close();
             throw new IOException(folder + " is held by another front");
         }
@@ -48,7 +48,7 @@
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString()).filter(name ->
-                    !name.equals(LOCK)).sorted()
+                    !name.equals(LOCK_FILE)).sorted()
                     .toList();
         }
     }
@@ -104,8 +104,8 @@
     }
 
     @Override
-    public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
+    public void rename(String source, String target) throws IOException {
+        Files.move(folder.resolve(source), folder.resolve(target), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -116,15 +116,15 @@
 
     @Override
     public void syncNames() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
     @Override
     public void close() throws IOException {
-        if (lock != null) {
-            lock.close();
+        if (lockFile != null) {
+            lockFile.close();
         }
     }
 }
--- a/src/main/java/reedspring/spool/store/Keeper.java
+++ b/src/main/java/reedspring/spool/store/Keeper.java
@@ -34,87 +34,87 @@
     private record Task(Step step, ByteBuffer text) {
     }
 
-    private record Commit(long segment, Word done) {
+    private record PendingCommit(long segment, Word completion) {
     }
 
-    private static final Task END = new Task(null, null);
-    private static final long RECOVER_REST_MS = 500;
+    private static final Task STOP = new Task(null, null);
+    private static final long RECOVERY_RETRY_MS = 500;
 
     private final Store store;
     private final Executor loop;
     private final Listener listener;
-    private final long groupNanos;
+    private final long groupCommitNanos;
     private final BlockingQueue<Task> writes = new LinkedBlockingQueue<>();
     private final BlockingQueue<Task> reads = new LinkedBlockingQueue<>();
-    private final Thread writer = new Thread(this::write, "spool-writer");
-    private final Thread reader = new Thread(this::read, "spool-reader");
-    private final Map<Long, String> failed = new LinkedHashMap<>();
-    private final List<Commit> pending = new ArrayList<>();
+    private final Thread writer = new Thread(this::runWriter, "spool-writer");
+    private final Thread reader = new Thread(this::runReader, "spool-reader");
+    private final Map<Long, String> failedSegments = new LinkedHashMap<>();
+    private final List<PendingCommit> pendingCommits = new ArrayList<>();
     private long pendingSince;
 
     /** @param group tenths of a millisecond that a commit waits for others at most */
-    public Keeper(Store store, Executor loop, Listener listener, long group) {
+    public Keeper(Store store, Executor loop, Listener listener, long groupCommitTicks) {
         this.store = store;
         this.loop = loop;
         this.listener = listener;
-        this.groupNanos = group * 100_000;
+        this.groupCommitNanos = groupCommitTicks * 100_000;
         writer.setDaemon(true);
         reader.setDaemon(true);
     }
 
-    /** Recovers first; {@link Word.Found} is the first word. */
+    /** Recovers first; {@link Word.Recovered} is the first word. */
     public void start() {
         writer.start();
         reader.start();
     }
 
-    /** @param text with {@link Step.Write} alone; it is the keeper's until {@link Word.Written} */
+    /** @param text with {@link Step.Write} alone; it is the keeper's until {@link Word.PageWritten} */
     public void accept(Step step, ByteBuffer text) {
         (step instanceof Step.ReadPage ? reads : writes).add(new Task(step, text));
     }
 
     /** Writes what is queued and ends; false if that takes longer. */
-    public boolean close(long ms) throws InterruptedException {
-        writes.add(END);
-        reads.add(END);
-        reader.join(ms);
-        writer.join(ms);
+    public boolean close(long timeoutMs) throws InterruptedException {
+        writes.add(STOP);
+        reads.add(STOP);
+        reader.join(timeoutMs);
+        writer.join(timeoutMs);
         return !writer.isAlive();
     }
 
-    private void say(Word word) {
-        loop.execute(() -> listener.word(word));
+    private void report(Word event) {
+        loop.execute(() -> listener.word(event));
     }
 
-    private void remark(String text) {
-        say(new Word.Remarked(text));
+    private void notice(String text) {
+        report(new Word.StoreNotice(text));
     }
 
     // ---- writing
 
-    private void write() {
+    private void runWriter() {
         try {
             if (!recover()) {
                 return;
             }
             while (true) {
-                Task task = pending.isEmpty() ? writes.take() : writes.poll();
-                if (task == null || !pending.isEmpty() && System.nanoTime() - pendingSince >= groupNanos) {
+                Task task = pendingCommits.isEmpty() ? writes.take() : writes.poll();
+                if (task == null || !pendingCommits.isEmpty() && System.nanoTime() - pendingSince >= groupCommitNanos) {
                     syncAll();
                 }
-                if (task == END) {
+                if (task == STOP) {
                     syncAll();
                     store.close();
                     return;
                 }
                 if (task != null) {
-                    one(task);
+                    runTask(task);
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            remark("spool can't be closed: " + e.getMessage());
+            notice("spool can't be closed: " + e.getMessage());
         }
     }
 
@@ -125,128 +125,128 @@
     private boolean recover() throws IOException, InterruptedException {
         while (true) {
             try {
-                say(store.recover(this::remark));
+                report(store.recover(this::notice));
                 return true;
             } catch (RuntimeException e) {
-                say(new Word.Unusable(String.valueOf(e.getMessage())));
+                report(new Word.Unusable(String.valueOf(e.getMessage())));
                 return false;
             } catch (IOException e) {
-                remark("folder can't be read yet: " + e.getMessage());
+                notice("folder can't be read yet: " + e.getMessage());
             }
             // Nothing is asked of a spool that has not said what it found, but to end.
-            if (writes.poll(RECOVER_REST_MS, TimeUnit.MILLISECONDS) == END) {
+            if (writes.poll(RECOVERY_RETRY_MS, TimeUnit.MILLISECONDS) == STOP) {
                 store.close();
                 return false;
             }
         }
     }
 
-    private void one(Task task) {
+    private void runTask(Task task) {
         long segment = segmentOf(task.step());
         try {
-            if (segment < 0 || !failed.containsKey(segment)) {
+            if (segment < 0 || !failedSegments.containsKey(segment)) {
                 perform(task);
             }
         } catch (IOException | RuntimeException e) {
             if (segment >= 0) {
-                fail(segment, e);
+                failSegment(segment, e);
             } else {
-                remark("spool: " + e.getMessage());
+                notice("spool: " + e.getMessage());
             }
         }
         if (task.step() instanceof Step.Write write) {
-            say(new Word.Written(write.answer(), write.page()));
+            report(new Word.PageWritten(write.answer(), write.page()));
         }
     }
 
     /** The segment that the step writes to, -1 if its failure costs none. */
     private static long segmentOf(Step step) {
-        return step instanceof Step.Open open ? open.segment()
+        return step instanceof Step.OpenSegment open ? open.segment()
                 : step instanceof Step.Write write ? write.segment()
-                : step instanceof Step.Commit commit ? commit.segment()
-                : step instanceof Step.Move move ? move.to() : -1;
+                : step instanceof Step.CommitAnswer commit ? commit.segment()
+                : step instanceof Step.MoveAnswer move ? move.targetSegment() : -1;
     }
 
     private void perform(Task task) throws IOException {
         Step step = task.step();
-        if (step instanceof Step.Open open) {
+        if (step instanceof Step.OpenSegment open) {
             store.open(open.segment());
         } else if (step instanceof Step.Write write) {
             store.write(write.answer(), write.segment(), write.page(), task.text());
-        } else if (step instanceof Step.Commit commit) {
+        } else if (step instanceof Step.CommitAnswer commit) {
             store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
                     commit.pages(),
                     commit.expiresAt());
-            later(commit.segment(), new Word.Committed(commit.answer()));
-        } else if (step instanceof Step.Move move) {
-            move(move.answer(), move.to());
-        } else if (step instanceof Step.Drop drop) {
+            awaitSync(commit.segment(), new Word.AnswerCommitted(commit.answer()));
+        } else if (step instanceof Step.MoveAnswer move) {
+            move(move.answer(), move.targetSegment());
+        } else if (step instanceof Step.DropAnswer drop) {
             store.drop(drop.answer());
-        } else if (step instanceof Step.Seal seal) {
+        } else if (step instanceof Step.SealSegment seal) {
             syncAll();
             store.seal(seal.segment());
-        } else if (step instanceof Step.Delete delete) {
-            pending.removeIf(commit -> commit.segment() == delete.segment());
-            failed.remove(delete.segment());
+        } else if (step instanceof Step.DeleteSegment delete) {
+            pendingCommits.removeIf(commit -> commit.segment() == delete.segment());
+            failedSegments.remove(delete.segment());
             store.delete(delete.segment());
         }
     }
 
-    private void move(AnswerId answer, long to) throws IOException {
+    private void move(AnswerId answer, long targetSegment) throws IOException {
         try {
-            store.move(answer, to);
-        } catch (Store.DamagedException e) {
-            say(new Word.MoveFailed(answer, to, e.getMessage()));
+            store.move(answer, targetSegment);
+        } catch (Store.CorruptDataException e) {
+            report(new Word.MoveFailed(answer, targetSegment, e.getMessage()));
             return;
         }
-        later(to, new Word.Moved(answer, to));
+        awaitSync(targetSegment, new Word.AnswerMoved(answer, targetSegment));
     }
 
-    private void later(long segment, Word done) {
-        if (pending.isEmpty()) {
+    private void awaitSync(long segment, Word completion) {
+        if (pendingCommits.isEmpty()) {
             pendingSince = System.nanoTime();
         }
-        pending.add(new Commit(segment, done));
+        pendingCommits.add(new PendingCommit(segment, completion));
     }
 
     private void syncAll() {
-        for (long segment : pending.stream().map(Commit::segment).distinct().toList()) {
-            List<Commit> done = pending.stream().filter(commit -> commit.segment() == segment).toList();
+        for (long segment : pendingCommits.stream().map(PendingCommit::segment).distinct().toList()) {
+            List<PendingCommit> synced = pendingCommits.stream().filter(commit -> commit.segment() == segment).toList();
             try {
                 store.sync(segment);
-                done.forEach(commit -> say(commit.done()));
+                synced.forEach(commit -> report(commit.completion()));
             } catch (IOException | RuntimeException e) {
-                fail(segment, e);
+                failSegment(segment, e);
             }
         }
-        pending.clear();
+        pendingCommits.clear();
     }
 
-    private void fail(long segment, Exception e) {
-        pending.removeIf(commit -> commit.segment() == segment);
-        if (failed.putIfAbsent(segment, "") == null) {
-            say(new Word.SegmentFailed(segment, String.valueOf(e.getMessage())));
+    private void failSegment(long segment, Exception e) {
+        pendingCommits.removeIf(commit -> commit.segment() == segment);
+        if (failedSegments.putIfAbsent(segment, "") == null) {
+            report(new Word.SegmentFailed(segment, String.valueOf(e.getMessage())));
         }
     }
 
     // ---- reading
 
-    private void read() {
+    private void runReader() {
         try {
-            for (Task task = reads.take(); task != END; task = reads.take()) {
-                Step.ReadPage wanted = (Step.ReadPage) task.step();
+            for (Task task = reads.take(); task != STOP; task = reads.take()) {
+                Step.ReadPage request = (Step.ReadPage) task.step();
                 try {
-                    ByteBuffer text = store.read(wanted.answer(), wanted.page());
+                    ByteBuffer text = store.read(request.answer(), request.page());
                     loop.execute(() -> {
-                        listener.page(wanted.reader(), text);
-                        listener.word(new Word.PageRead(wanted.reader(), wanted.answer(), wanted.page()));
+                        listener.page(request.readId(), text);
+                        listener.word(new Word.PageRead(request.readId(), request.answer(), request.page()));
                     });
-                } catch (Store.DamagedException | RuntimeException e) {
-                    say(new Word.PageDamaged(wanted.reader(), wanted.answer(), wanted.page(),
+                } catch (Store.CorruptDataException | RuntimeException e) {
+                    report(new Word.PageCorrupt(request.readId(), request.answer(), request.page(),
                             String.valueOf(e.getMessage())));
                 } catch (IOException e) {
                     // An error of the disk, or no descriptor: what lies there may be read yet.
-                    say(new Word.PageUnread(wanted.reader(), wanted.answer(), wanted.page(),
+                    report(new Word.PageReadFailed(request.readId(), request.answer(), request.page(),
                             String.valueOf(e.getMessage())));
                 }
             }
--- a/src/main/java/reedspring/spool/store/Store.java
+++ b/src/main/java/reedspring/spool/store/Store.java
@@ -27,39 +27,39 @@
  */
 public final class Store implements Closeable {
     /** A file cut at any place, or bits that are not what was written. */
-    public static final class DamagedException extends IOException {
+    public static final class CorruptDataException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        DamagedException(String message) {
+        CorruptDataException(String message) {
             super(message);
         }
     }
 
     private final Disk disk;
     private final String front;
-    private final int mostBody;
-    private final Map<Long, Open> open = new LinkedHashMap<>();
+    private final int maxBodyBytes;
+    private final Map<Long, OpenSegment> open = new LinkedHashMap<>();
     /** Where the pages of whole answers are. Read by the reading thread, too. */
-    private final Map<AnswerId, Placed> placed = new ConcurrentHashMap<>();
-    private final Map<Long, Disk.In> reading = new ConcurrentHashMap<>();
-    private long orders;
+    private final Map<AnswerId, Location> locations = new ConcurrentHashMap<>();
+    private final Map<Long, Disk.In> readFiles = new ConcurrentHashMap<>();
+    private long lastSequence;
 
-    private record Placed(long segment, Format.Entry entry) {
+    private record Location(long segment, Format.IndexEntry entry) {
     }
 
     /** A segment that is being written. */
-    private static final class Open {
+    private static final class OpenSegment {
         private final Disk.Out file;
-        private long end;
-        private long synced;
+        private long endPosition;
+        private long syncedPosition;
         private boolean failed;
         /** Pages by answer: places and lengths, until it is whole. */
-        private final Map<AnswerId, Map<Integer, long[]>> pages = new HashMap<>();
-        private final Map<AnswerId, Format.Entry> whole = new LinkedHashMap<>();
-        private final List<Format.Entry> unsynced = new ArrayList<>();
-        private final List<Format.Dropped> dropped = new ArrayList<>();
+        private final Map<AnswerId, Map<Integer, long[]>> uncommittedPages = new HashMap<>();
+        private final Map<AnswerId, Format.IndexEntry> committed = new LinkedHashMap<>();
+        private final List<Format.IndexEntry> unsynced = new ArrayList<>();
+        private final List<Format.Drop> drops = new ArrayList<>();
 
-        Open(Disk.Out file) {
+        OpenSegment(Disk.Out file) {
             this.file = file;
         }
     }
@@ -68,94 +68,94 @@
     public Store(Disk disk, String front, int pageBytes) {
         this.disk = disk;
         this.front = front;
-        this.mostBody = Math.max(Format.PAGE_HEAD + pageBytes, 2 * Format.MOST_NAME);
+        this.maxBodyBytes = Math.max(Format.PAGE_HEADER_BYTES + pageBytes, 2 * Format.MAX_NAME_BYTES);
     }
 
     // ---- writing
 
     public void open(long segment) throws IOException {
-        Disk.Out file = disk.create(Format.segment(segment));
-        Open made = new Open(file);
-        open.put(segment, made);
-        append(segment, made, Format.head(segment, front));
+        Disk.Out file = disk.create(Format.segmentFileName(segment));
+        OpenSegment opened = new OpenSegment(file);
+        open.put(segment, opened);
+        append(segment, opened, Format.header(segment, front));
         // Else a crash could leave answers that were made last in a file without a name.
         disk.syncNames();
     }
 
     public void write(AnswerId answer, long segment, int page, ByteBuffer text) throws IOException {
-        Open to = usable(segment);
-        long at = to.end;
-        int body = Format.PAGE_HEAD + text.remaining();
-        append(segment, to, Format.page(segment, at, answer, page, text));
-        to.pages.computeIfAbsent(answer, k -> new HashMap<>()).put(page, new long[] {at, body});
+        OpenSegment target = writableSegment(segment);
+        long position = target.endPosition;
+        int bodyBytes = Format.PAGE_HEADER_BYTES + text.remaining();
+        append(segment, target, Format.pageRecord(segment, position, answer, page, text));
+        target.uncommittedPages.computeIfAbsent(answer, key -> new HashMap<>()).put(page, new long[] {position, bodyBytes});
     }
 
     /** Appends what makes the answer whole; it lasts from the next {@link #sync} of the segment on. */
     public void whole(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
                       long expiresAt) throws IOException {
-        Open to = usable(segment);
-        Map<Integer, long[]> places = to.pages.remove(answer);
-        Format.Whole whole = new Format.Whole(answer, ++orders, pages, expiresAt, repeatable, tenant);
-        Format.Entry entry = entry(whole, places);
+        OpenSegment target = writableSegment(segment);
+        Map<Integer, long[]> pagePositions = target.uncommittedPages.remove(answer);
+        Format.Commit commit = new Format.Commit(answer, ++lastSequence, pages, expiresAt, repeatable, tenant);
+        Format.IndexEntry entry = indexEntry(commit, pagePositions);
         if (entry == null) {
             throw new IllegalStateException("pages are missing");
         }
-        append(segment, to, Format.whole(segment, to.end, whole));
-        to.unsynced.add(entry);
+        append(segment, target, Format.whole(segment, target.endPosition, commit));
+        target.unsynced.add(entry);
     }
 
-    private static Format.Entry entry(Format.Whole whole, Map<Integer, long[]> places) {
-        if (places == null || places.size() != whole.pages()) {
+    private static Format.IndexEntry indexEntry(Format.Commit commit, Map<Integer, long[]> pagePositions) {
+        if (pagePositions == null || pagePositions.size() != commit.pageCount()) {
             return null;
         }
-        long[] at = new long[whole.pages()];
-        int[] length = new int[whole.pages()];
-        for (int page = 0; page < at.length; page++) {
-            long[] place = places.get(page);
-            if (place == null) {
+        long[] positions = new long[commit.pageCount()];
+        int[] bodyBytes = new int[commit.pageCount()];
+        for (int page = 0; page < positions.length; page++) {
+            long[] position = pagePositions.get(page);
+            if (position == null) {
                 return null;
             }
-            at[page] = place[0];
-            length[page] = (int) place[1];
+            positions[page] = position[0];
+            bodyBytes[page] = (int) position[1];
         }
-        return new Format.Entry(whole, at, length);
+        return new Format.IndexEntry(commit, positions, bodyBytes);
     }
 
     /** Makes last all that was appended to the segment; from now on its whole answers can be read. */
     public void sync(long segment) throws IOException {
-        Open to = usable(segment);
-        long end = to.end;
+        OpenSegment target = writableSegment(segment);
+        long endPosition = target.endPosition;
         try {
-            to.file.sync();
+            target.file.sync();
         } catch (IOException | RuntimeException e) {
-            to.failed = true;
+            target.failed = true;
             throw e;
         }
-        to.synced = end;
-        for (Format.Entry entry : to.unsynced) {
-            to.whole.put(entry.whole().id(), entry);
-            placed.put(entry.whole().id(), new Placed(segment, entry));
+        target.syncedPosition = endPosition;
+        for (Format.IndexEntry entry : target.unsynced) {
+            target.committed.put(entry.commit().id(), entry);
+            locations.put(entry.commit().id(), new Location(segment, entry));
         }
-        to.unsynced.clear();
+        target.unsynced.clear();
     }
 
     /** Forgets the answer, and so far as a segment is open, for a restart as well. */
     public void drop(AnswerId answer) throws IOException {
-        boolean known = placed.remove(answer) != null;
-        for (Open to : open.values()) {
-            to.pages.remove(answer);
-            to.whole.remove(answer);
-            known |= to.unsynced.removeIf(entry -> entry.whole().id().equals(answer));
+        boolean known = locations.remove(answer) != null;
+        for (OpenSegment target : open.values()) {
+            target.uncommittedPages.remove(answer);
+            target.committed.remove(answer);
+            known |= target.unsynced.removeIf(entry -> entry.commit().id().equals(answer));
         }
         if (!known) {
             return;
         }
-        for (Map.Entry<Long, Open> entry : open.entrySet()) {
-            Open to = entry.getValue();
-            if (!to.failed) {
-                long order = ++orders;
-                append(entry.getKey(), to, Format.drop(entry.getKey(), to.end, answer, order));
-                to.dropped.add(new Format.Dropped(answer, order));
+        for (Map.Entry<Long, OpenSegment> entry : open.entrySet()) {
+            OpenSegment target = entry.getValue();
+            if (!target.failed) {
+                long sequence = ++lastSequence;
+                append(entry.getKey(), target, Format.dropRecord(entry.getKey(), target.endPosition, answer, sequence));
+                target.drops.add(new Format.Drop(answer, sequence));
                 return;
             }
         }
@@ -163,122 +163,122 @@
 
     /** Takes no more; what it holds for sure is in its index from now on. */
     public void seal(long segment) throws IOException {
-        Open to = open.remove(segment);
-        if (to == null) {
+        OpenSegment sealed = open.remove(segment);
+        if (sealed == null) {
             return;
         }
         try {
-            to.file.close();
+            sealed.file.close();
         } catch (IOException e) {
             // What was synced is there.
         }
-        writeIndex(new Format.Index(segment, to.synced, List.copyOf(to.whole.values()), to.dropped));
+        writeIndex(new Format.Index(segment, sealed.syncedPosition, List.copyOf(sealed.committed.values()), sealed.drops));
     }
 
     /**
      * Without its index the segment is read whole again at the next start; what is in it is there all the
      * same.
      */
-    private void sealFound(Format.Index index, Consumer<String> remarks) {
+    private void indexRecovered(Format.Index index, Consumer<String> remarks) {
         try {
             writeIndex(index);
         } catch (IOException e) {
-            remarks.accept("segment " + index.number() + ": no index written: " + e.getMessage());
+            remarks.accept("segment " + index.segment() + ": no index written: " + e.getMessage());
         }
     }
 
     private void writeIndex(Format.Index index) throws IOException {
-        String undone = Format.undone(index.number());
-        disk.delete(undone);
-        try (Disk.Out out = disk.create(undone)) {
-            out.write(Format.index(index, front));
-            out.sync();
+        String temporary = Format.undone(index.segment());
+        disk.delete(temporary);
+        try (Disk.Out file = disk.create(temporary)) {
+            file.write(Format.index(index, front));
+            file.sync();
         }
-        disk.rename(undone, Format.index(index.number()));
+        disk.rename(temporary, Format.index(index.segment()));
         disk.syncNames();
     }
 
     public void delete(long segment) throws IOException {
-        Open to = open.remove(segment);
-        if (to != null) {
-            to.file.close();
+        OpenSegment opened = open.remove(segment);
+        if (opened != null) {
+            opened.file.close();
         }
-        Disk.In in = reading.remove(segment);
-        if (in != null) {
-            in.close();
+        Disk.In file = readFiles.remove(segment);
+        if (file != null) {
+            file.close();
         }
         // The index first: an index without its segment is nothing, a segment without its index is read
         // whole.
         disk.delete(Format.index(segment));
-        disk.delete(Format.segment(segment));
+        disk.delete(Format.segmentFileName(segment));
     }
 
     /** A copy of a whole answer in another segment, to last from its next sync on. */
     public void move(AnswerId answer, long segment) throws IOException {
-        Placed from = placed.get(answer);
-        if (from == null) {
-            throw new DamagedException("the answer is not there");
+        Location source = locations.get(answer);
+        if (source == null) {
+            throw new CorruptDataException("the answer is not there");
         }
-        Format.Whole whole = from.entry().whole();
-        for (int page = 0; page < whole.pages(); page++) {
+        Format.Commit commit = source.entry().commit();
+        for (int page = 0; page < commit.pageCount(); page++) {
             write(answer, segment, page, read(answer, page));
         }
-        whole(answer, segment, whole.tenant(), whole.repeatable(), whole.pages(), whole.expiresAt());
+        whole(answer, segment, commit.tenant(), commit.repeatable(), commit.pageCount(), commit.expiresAt());
     }
 
-    private Open usable(long segment) throws IOException {
-        Open to = open.get(segment);
-        if (to == null || to.failed) {
+    private OpenSegment writableSegment(long segment) throws IOException {
+        OpenSegment target = open.get(segment);
+        if (target == null || target.failed) {
             throw new IOException("segment " + segment + " takes nothing more");
         }
-        return to;
+        return target;
     }
 
-    private void append(long segment, Open to, ByteBuffer record) throws IOException {
+    private void append(long segment, OpenSegment target, ByteBuffer record) throws IOException {
         int size = record.remaining();
         try {
-            to.file.write(record);
+            target.file.write(record);
         } catch (IOException | RuntimeException e) {
-            to.failed = true;
+            target.failed = true;
             throw e;
         }
-        to.end += size;
+        target.endPosition += size;
     }
 
     // ---- reading
 
     /** The text of one page of a whole answer. */
     public ByteBuffer read(AnswerId answer, int page) throws IOException {
-        Placed from = placed.get(answer);
-        if (from == null || page < 0 || page >= from.entry().at().length) {
-            throw new DamagedException("the page is not there");
-        }
-        long at = from.entry().at()[page];
-        int length = from.entry().length()[page];
-        ByteBuffer record = ByteBuffer.allocate(Format.RECORD_HEAD + length);
-        file(from.segment()).read(record, at);
+        Location location = locations.get(answer);
+        if (location == null || page < 0 || page >= location.entry().positions().length) {
+            throw new CorruptDataException("the page is not there");
+        }
+        long position = location.entry().positions()[page];
+        int bodyBytes = location.entry().bodyBytes()[page];
+        ByteBuffer record = ByteBuffer.allocate(Format.RECORD_HEADER_BYTES + bodyBytes);
+        readFile(location.segment()).read(record, position);
         if (record.hasRemaining()) {
-            throw new DamagedException("segment " + from.segment() + " ends in a page");
+            throw new CorruptDataException("segment " + location.segment() + " ends in a page");
         }
         record.flip();
-        int body = record.getInt();
+        int storedBodyBytes = record.getInt();
         int crc = record.getInt();
-        if (body != length || !Format.sealed(from.segment(), at, crc, record.array(), record.position(), body)
+        if (storedBodyBytes != bodyBytes || !Format.checksumMatches(location.segment(), position, crc, record.array(), record.position(), storedBodyBytes)
                 || record.get() != Format.PAGE || record.getLong() != answer.high()
                 || record.getLong() != answer.low() || record.getInt() != page) {
-            throw new DamagedException("segment " + from.segment() + " has other bytes at " + at
+            throw new CorruptDataException("segment " + location.segment() + " has other bytes at " + position
                     + " than were written");
         }
         return record.slice();
     }
 
-    private Disk.In file(long segment) throws IOException {
-        Disk.In in = reading.get(segment);
-        if (in != null) {
-            return in;
+    private Disk.In readFile(long segment) throws IOException {
+        Disk.In known = readFiles.get(segment);
+        if (known != null) {
+            return known;
         }
-        Disk.In opened = disk.open(Format.segment(segment));
-        Disk.In other = reading.putIfAbsent(segment, opened);
+        Disk.In opened = disk.open(Format.segmentFileName(segment));
+        Disk.In other = readFiles.putIfAbsent(segment, opened);
         if (other != null) {
             opened.close();
             return other;
@@ -294,14 +294,14 @@
      *
      * @param remarks is given a line for each file that can't be used
      */
-    public Word.Found recover(Consumer<String> remarks) throws IOException {
+    public Word.Recovered recover(Consumer<String> remarks) throws IOException {
         for (String name : disk.list()) {
             if (Format.undone(name) || Format.indexNumber(name) >= 0
-                    && !disk.list().contains(Format.segment(Format.indexNumber(name)))) {
+                    && !disk.list().contains(Format.segmentFileName(Format.indexNumber(name)))) {
                 discard(name, remarks);
             }
         }
-        return find(remarks, true);
+        return load(remarks, true);
     }
 
     private void discard(String name, Consumer<String> remarks) {
@@ -313,22 +313,22 @@
     }
 
     /** The same, and changes nothing. */
-    Word.Found look(Consumer<String> remarks) throws IOException {
-        return find(remarks, false);
+    Word.Recovered inspect(Consumer<String> remarks) throws IOException {
+        return load(remarks, false);
     }
 
     /** The names of the fronts whose segments are there. */
-    static Set<String> fronts(Disk disk, Consumer<String> remarks) throws IOException {
+    static Set<String> frontNames(Disk disk, Consumer<String> remarks) throws IOException {
         Set<String> fronts = new TreeSet<>();
         for (String name : disk.list()) {
             long number = Format.segmentNumber(name);
             if (number < 0) {
                 continue;
             }
-            try (Disk.In in = disk.open(name)) {
-                ByteBuffer head = ByteBuffer.allocate(Format.MOST_HEAD);
-                in.read(head, 0);
-                String front = Format.readHead(head.flip(), number);
+            try (Disk.In file = disk.open(name)) {
+                ByteBuffer header = ByteBuffer.allocate(Format.MAX_HEADER_BYTES);
+                file.read(header, 0);
+                String front = Format.readHeader(header.flip(), number);
                 if (front == null) {
                     remarks.accept("segment " + number + " has no head, nothing was kept there");
                 } else {
@@ -342,185 +342,185 @@
     }
 
     /** Whether that copy of the answer is the one that is read. */
-    boolean holds(AnswerId answer, long segment) {
-        Placed place = placed.get(answer);
-        return place != null && place.segment() == segment;
+    boolean isCurrent(AnswerId answer, long segment) {
+        Location location = locations.get(answer);
+        return location != null && location.segment() == segment;
     }
 
-    private Word.Found find(Consumer<String> remarks, boolean seal) throws IOException {
-        List<Word.FoundSegment> segments = new ArrayList<>();
-        Map<AnswerId, Long> dropped = new HashMap<>();
-        List<Placed> whole = new ArrayList<>();
+    private Word.Recovered load(Consumer<String> remarks, boolean seal) throws IOException {
+        List<Word.RecoveredSegment> segments = new ArrayList<>();
+        Map<AnswerId, Long> dropSequences = new HashMap<>();
+        List<Location> committed = new ArrayList<>();
         List<String> names = disk.list();
-        long last = 0;
+        long lastSegment = 0;
         for (String name : names) {
             long number = Format.segmentNumber(name);
             if (number < 0) {
                 continue;
             }
-            last = Math.max(last, number);
-            Format.Index index = names.contains(Format.index(number)) ? index(number) : null;
+            lastSegment = Math.max(lastSegment, number);
+            Format.Index index = names.contains(Format.index(number)) ? readIndex(number) : null;
             if (index == null) {
                 Scan scan = new Scan(number);
                 if (!scan.run()) {
-                    remarks.accept(scan.why);
-                    if (scan.mine) {
-                        segments.add(new Word.FoundSegment(number, scan.size));
+                    remarks.accept(scan.failure);
+                    if (scan.ownedByFront) {
+                        segments.add(new Word.RecoveredSegment(number, scan.fileBytes));
                     }
                     continue;
                 }
-                index = new Format.Index(number, scan.size, scan.whole, scan.dropped);
-                if (scan.skipped > 0) {
-                    remarks.accept("segment " + number + ": " + scan.skipped + " bytes can't be read");
+                index = new Format.Index(number, scan.fileBytes, scan.committed, scan.drops);
+                if (scan.skippedBytes > 0) {
+                    remarks.accept("segment " + number + ": " + scan.skippedBytes + " bytes can't be read");
                 }
                 if (seal) {
-                    sealFound(index, remarks);
+                    indexRecovered(index, remarks);
                 }
             }
-            segments.add(new Word.FoundSegment(number,
-                    index.bytes() + Format.index(index, front).remaining()));
-            for (Format.Entry entry : index.entries()) {
-                whole.add(new Placed(number, entry));
-                orders = Math.max(orders, entry.whole().order());
+            segments.add(new Word.RecoveredSegment(number,
+                    index.segmentBytes() + Format.index(index, front).remaining()));
+            for (Format.IndexEntry entry : index.entries()) {
+                committed.add(new Location(number, entry));
+                lastSequence = Math.max(lastSequence, entry.commit().sequence());
             }
-            for (Format.Dropped drop : index.dropped()) {
-                dropped.merge(drop.id(), drop.order(), Math::max);
-                orders = Math.max(orders, drop.order());
+            for (Format.Drop drop : index.drops()) {
+                dropSequences.merge(drop.id(), drop.sequence(), Math::max);
+                lastSequence = Math.max(lastSequence, drop.sequence());
             }
         }
-        List<Word.FoundAnswer> answers = new ArrayList<>();
-        for (Placed place : whole) {
-            Format.Whole what = place.entry().whole();
-            if (what.order() > dropped.getOrDefault(what.id(), 0L)) {
-                Placed other = placed.get(what.id());
-                if (other == null || other.entry().whole().order() < what.order()) {
-                    placed.put(what.id(), place);
+        List<Word.RecoveredAnswer> answers = new ArrayList<>();
+        for (Location location : committed) {
+            Format.Commit commit = location.entry().commit();
+            if (commit.sequence() > dropSequences.getOrDefault(commit.id(), 0L)) {
+                Location other = locations.get(commit.id());
+                if (other == null || other.entry().commit().sequence() < commit.sequence()) {
+                    locations.put(commit.id(), location);
                 }
-                answers.add(new Word.FoundAnswer(what.id(), what.tenant(), what.repeatable(), what.pages(),
-                        place.entry().bytes() + Terms.ANSWER_EXTRA, what.expiresAt(),
-                        place.segment(), what.order(), true));
+                answers.add(new Word.RecoveredAnswer(commit.id(), commit.tenant(), commit.repeatable(), commit.pageCount(),
+                        location.entry().bytes() + Terms.ANSWER_OVERHEAD_BYTES, commit.expiresAt(),
+                        location.segment(), commit.sequence(), true));
             }
         }
-        return new Word.Found(segments, answers, last);
+        return new Word.Recovered(segments, answers, lastSegment);
     }
 
-    private Format.Index index(long number) throws IOException {
-        try (Disk.In in = disk.open(Format.index(number))) {
-            ByteBuffer all = ByteBuffer.allocate((int) Math.min(Integer.MAX_VALUE - 8, in.size()));
-            in.read(all, 0);
-            return Format.readIndex(all.flip(), number, front);
+    private Format.Index readIndex(long number) throws IOException {
+        try (Disk.In file = disk.open(Format.index(number))) {
+            ByteBuffer content = ByteBuffer.allocate((int) Math.min(Integer.MAX_VALUE - 8, file.size()));
+            file.read(content, 0);
+            return Format.readIndex(content.flip(), number, front);
         }
     }
 
     /** Reads a segment that has no index, record by record, past what is spoilt as far as it can. */
     private final class Scan {
-        private static final int CHUNK = 1 << 20;
-        private final long number;
-        private final List<Format.Entry> whole = new ArrayList<>();
-        private final List<Format.Dropped> dropped = new ArrayList<>();
-        private final Map<AnswerId, Map<Integer, long[]>> pages = new HashMap<>();
-        private byte[] bytes = new byte[0];
-        private long from;
-        private int filled;
-        private long size;
-        private long skipped;
-        private boolean mine;
-        private String why;
-
-        Scan(long number) {
-            this.number = number;
+        private static final int CHUNK_BYTES = 1 << 20;
+        private final long segment;
+        private final List<Format.IndexEntry> committed = new ArrayList<>();
+        private final List<Format.Drop> drops = new ArrayList<>();
+        private final Map<AnswerId, Map<Integer, long[]>> uncommittedPages = new HashMap<>();
+        private byte[] buffer = new byte[0];
+        private long bufferStart;
+        private int bufferedBytes;
+        private long fileBytes;
+        private long skippedBytes;
+        private boolean ownedByFront;
+        private String failure;
+
+        Scan(long segment) {
+            this.segment = segment;
         }
 
         /** False if there is nothing that can be used. */
         boolean run() throws IOException {
-            try (Disk.In in = disk.open(Format.segment(number))) {
-                size = in.size();
-                fill(in, 0);
-                ByteBuffer head = ByteBuffer.wrap(bytes, 0, filled);
-                String named;
+            try (Disk.In file = disk.open(Format.segmentFileName(segment))) {
+                fileBytes = file.size();
+                fill(file, 0);
+                ByteBuffer header = ByteBuffer.wrap(buffer, 0, bufferedBytes);
+                String owner;
                 try {
-                    named = Format.readHead(head, number);
+                    owner = Format.readHeader(header, segment);
                 } catch (IOException e) {
-                    why = "segment " + number + " left as it is: " + e.getMessage();
+                    failure = "segment " + segment + " left as it is: " + e.getMessage();
                     return false;
                 }
-                mine = named == null || named.equals(front);
-                if (named == null || !mine) {
-                    why = "segment " + number + (mine ? " has no head, nothing was kept there"
-                            : " left as it is, it is of front " + named);
+                ownedByFront = owner == null || owner.equals(front);
+                if (owner == null || !ownedByFront) {
+                    failure = "segment " + segment + (ownedByFront ? " has no head, nothing was kept there"
+                            : " left as it is, it is of front " + owner);
                     return false;
                 }
-                records(in, head.position());
+                scanRecords(file, header.position());
                 return true;
             }
         }
 
-        private void records(Disk.In in, long start) throws IOException {
-            long bad = -1;
-            for (long at = start; at + Format.RECORD_HEAD < size; ) {
-                int length = record(in, at);
+        private void scanRecords(Disk.In file, long start) throws IOException {
+            long badStart = -1;
+            for (long position = start; position + Format.RECORD_HEADER_BYTES < fileBytes; ) {
+                int length = readRecord(file, position);
                 if (length < 0) {
                     // The head itself may be spoilt: the next record is looked for at each place.
-                    bad = bad < 0 ? at : bad;
-                    at++;
+                    badStart = badStart < 0 ? position : badStart;
+                    position++;
                 } else {
-                    skipped += bad < 0 ? 0 : at - bad;
-                    bad = -1;
-                    at += Format.RECORD_HEAD + length;
+                    skippedBytes += badStart < 0 ? 0 : position - badStart;
+                    badStart = -1;
+                    position += Format.RECORD_HEADER_BYTES + length;
                 }
             }
         }
 
         /** The length of the body of the record at that place, -1 if there is none. */
-        private int record(Disk.In in, long at) throws IOException {
-            if (at < from || at + Format.RECORD_HEAD + mostBody > from + filled && from + filled < size) {
-                fill(in, at);
+        private int readRecord(Disk.In file, long position) throws IOException {
+            if (position < bufferStart || position + Format.RECORD_HEADER_BYTES + maxBodyBytes > bufferStart + bufferedBytes && bufferStart + bufferedBytes < fileBytes) {
+                fill(file, position);
             }
-            int here = (int) (at - from);
-            ByteBuffer record = ByteBuffer.wrap(bytes, here, filled - here);
-            int length = record.getInt();
+            int offset = (int) (position - bufferStart);
+            ByteBuffer record = ByteBuffer.wrap(buffer, offset, bufferedBytes - offset);
+            int bodyBytes = record.getInt();
             int crc = record.getInt();
-            if (length < 17 || length > mostBody || length > record.remaining()
-                    || !Format.sealed(number, at, crc, bytes, record.position(), length)) {
+            if (bodyBytes < 17 || bodyBytes > maxBodyBytes || bodyBytes > record.remaining()
+                    || !Format.checksumMatches(segment, position, crc, buffer, record.position(), bodyBytes)) {
                 return -1;
             }
-            record.limit(record.position() + length);
+            record.limit(record.position() + bodyBytes);
             byte kind = record.get();
             AnswerId id = new AnswerId(record.getLong(), record.getLong());
             if (kind == Format.PAGE) {
-                pages.computeIfAbsent(id, k -> new HashMap<>()).put(record.getInt(), new long[] {at, length});
-            } else if (kind == Format.WHOLE) {
-                Format.Entry entry = entry(Format.whole(id, record), pages.remove(id));
+                uncommittedPages.computeIfAbsent(id, key -> new HashMap<>()).put(record.getInt(), new long[] {position, bodyBytes});
+            } else if (kind == Format.COMMIT) {
+                Format.IndexEntry entry = indexEntry(Format.whole(id, record), uncommittedPages.remove(id));
                 if (entry != null) {
-                    whole.add(entry);
+                    committed.add(entry);
                 } else {
-                    skipped++;
+                    skippedBytes++;
                 }
             } else if (kind == Format.DROP) {
-                dropped.add(new Format.Dropped(id, record.getLong()));
+                drops.add(new Format.Drop(id, record.getLong()));
             }
-            return length;
+            return bodyBytes;
         }
 
-        private void fill(Disk.In in, long at) throws IOException {
-            int length = (int) Math.min(size - at, CHUNK + mostBody + Format.RECORD_HEAD);
-            if (bytes.length < length) {
-                bytes = new byte[length];
+        private void fill(Disk.In file, long position) throws IOException {
+            int length = (int) Math.min(fileBytes - position, CHUNK_BYTES + maxBodyBytes + Format.RECORD_HEADER_BYTES);
+            if (buffer.length < length) {
+                buffer = new byte[length];
             }
-            ByteBuffer into = ByteBuffer.wrap(bytes, 0, length);
-            in.read(into, at);
-            from = at;
-            filled = into.position();
-            Arrays.fill(bytes, filled, bytes.length, (byte) 0);
+            ByteBuffer target = ByteBuffer.wrap(buffer, 0, length);
+            file.read(target, position);
+            bufferStart = position;
+            bufferedBytes = target.position();
+            Arrays.fill(buffer, bufferedBytes, buffer.length, (byte) 0);
         }
     }
 
     void closeFiles() throws IOException {
-        for (Open each : open.values()) {
-            each.file.close();
+        for (OpenSegment segment : open.values()) {
+            segment.file.close();
         }
-        for (Disk.In in : reading.values()) {
-            in.close();
+        for (Disk.In file : readFiles.values()) {
+            file.close();
         }
     }
 
--- a/src/main/java/reedspring/spool/store/Survey.java
+++ b/src/main/java/reedspring/spool/store/Survey.java
@@ -27,14 +27,14 @@
         List<String> faults = new ArrayList<>();
         Map<Long, Long> segments = new TreeMap<>();
         List<Answer> answers = new ArrayList<>();
-        long read = 0;
-        Set<String> fronts = new HashSet<>(Store.fronts(disk, remarks::add));
+        long pagesRead = 0;
+        Set<String> fronts = new HashSet<>(Store.frontNames(disk, remarks::add));
         for (String front : fronts) {
-            Store store = new Store(disk, front, Format.MOST_PAGE);
-            Word.Found found = store.look(remarks::add);
-            found.segments().forEach(segment -> segments.put(segment.number(), segment.bytes()));
-            for (Word.FoundAnswer answer : found.answers()) {
-                if (!store.holds(answer.answer(), answer.segment())) {
+            Store store = new Store(disk, front, Format.MAX_PAGE_BYTES);
+            Word.Recovered contents = store.inspect(remarks::add);
+            contents.segments().forEach(segment -> segments.put(segment.number(), segment.bytes()));
+            for (Word.RecoveredAnswer answer : contents.answers()) {
+                if (!store.isCurrent(answer.answer(), answer.segment())) {
                     // An older copy: what it was moved from.
                     continue;
                 }
@@ -43,9 +43,9 @@
                 for (int page = 0; pages && page < answer.pages(); page++) {
                     try {
                         store.read(answer.answer(), page);
-                        read++;
+                        pagesRead++;
                     } catch (IOException e) {
-                        if (disk.list().contains(Format.segment(answer.segment()))) {
+                        if (disk.list().contains(Format.segmentFileName(answer.segment()))) {
                             faults.add("answer " + answer.answer() + " page " + page + ": " + e.getMessage());
                         }
                         break;
@@ -54,7 +54,7 @@
             }
             store.closeFiles();
         }
-        return new Survey(segments, answers, remarks, faults, read);
+        return new Survey(segments, answers, remarks, faults, pagesRead);
     }
 
     /** Deletes the segments in which nothing lives past that time; their numbers. */
@@ -63,7 +63,7 @@
         for (long segment : segments.keySet()) {
             if (answers.stream().noneMatch(a -> a.segment() == segment && a.expiresAt() > time)) {
                 disk.delete(Format.index(segment));
-                disk.delete(Format.segment(segment));
+                disk.delete(Format.segmentFileName(segment));
                 deleted.add(segment);
             }
         }
--- /dev/null
+++ b/src/test/java/reedspring/spool/SpoolHarness.java
@@ -0,0 +1,343 @@
+package reedspring.spool;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import reedspring.api.Id;
+import reedspring.rig.MemoryDisk;
+import reedspring.spool.store.Store;
+
+/**
+ * Stands round one spool and its store as engines, clients and the threads behind the loop do, in one thread
+ * and in virtual time, and checks after every step: each query has one end, what was kept with a handle can
+ * be read to the byte until its time has passed or it was read to the end or released, room and memory are
+ * not passed.
+ */
+final class SpoolHarness {
+    static final long SECOND = 10_000;
+    static final Terms TERMS = new Terms(400_000, 0.5, 0.1, 60 * SECOND, 60_000, 1_000, 50_000, 12_000, 4, 2,
+            SECOND, 60 * SECOND);
+
+    /** A query whose answer an engine has begun. */
+    final class Query {
+        final Id.Query id = new Id.Query(++lastQuery);
+        final String tenant;
+        final boolean repeatable;
+        final int pageCount;
+        final long textSeed = random.nextLong();
+        AnswerId answer;
+        String outcome;
+
+        Query(String tenant, boolean repeatable, int pages) {
+            this.tenant = tenant;
+            this.repeatable = repeatable;
+            this.pageCount = pages;
+        }
+
+        byte[] text(int page) {
+            SplittableRandom own = new SplittableRandom(textSeed + page);
+            byte[] text = new byte[1 + own.nextInt(TERMS.pageBytes())];
+            own.nextBytes(text);
+            return text;
+        }
+
+        void outcome(String how) {
+            require(outcome == null, "ended twice: " + outcome + ", " + how);
+            outcome = how;
+        }
+    }
+
+    /** What a client holds a handle of. */
+    record HeldAnswer(Query query, Handle handle) {
+    }
+
+    final SplittableRandom random;
+    final MemoryDisk disk;
+    final Map<Id.Query, Query> openQueries = new LinkedHashMap<>();
+    final Map<AnswerId, HeldAnswer> heldAnswers = new LinkedHashMap<>();
+    /** Read to the end or released, so that it may be given up. */
+    final Set<AnswerId> evictable = new HashSet<>();
+    final Set<AnswerId> corrupt = new HashSet<>();
+    final ArrayDeque<Step> diskActions = new ArrayDeque<>();
+    final ArrayDeque<Word> diskEvents = new ArrayDeque<>();
+    final List<Step.Say> rejectedReads = new ArrayList<>();
+    final List<String> logTexts = new ArrayList<>();
+    final Set<Long> failedSegments = new HashSet<>();
+    private final Map<AnswerId, List<Integer>> requestedPages = new HashMap<>();
+    private final Map<Long, List<Word>> unsyncedEvents = new LinkedHashMap<>();
+    private final Map<Long, Integer> activeReads = new HashMap<>();
+    Spool spool;
+    Store store;
+    long now = 1_000_000;
+    int lostCount;
+    int refusedCount;
+    int keptCount;
+    int pagesRead;
+    private long lastQuery;
+    private long lastReadId;
+
+    SpoolHarness(long seed) {
+        random = new SplittableRandom(seed);
+        disk = new MemoryDisk(random.nextLong());
+        start();
+    }
+
+    /** The front starts, on whatever the disk has. */
+    void start() {
+        openQueries.clear();
+        requestedPages.clear();
+        unsyncedEvents.clear();
+        activeReads.clear();
+        diskActions.clear();
+        diskEvents.clear();
+        failedSegments.clear();
+        spool = new Spool(TERMS, random::nextLong);
+        store = new Store(disk, "n0", TERMS.pageBytes());
+        try {
+            Word.Recovered found = store.recover(logTexts::add);
+            send(found);
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    void send(Word event) {
+        spool.on(now, event, this::handle);
+        require(spool.bufferedBytes() <= 2 * TERMS.inMemory(), "memory " + spool.bufferedBytes());
+        require(spool.usedBytes() <= TERMS.total(), "room " + spool.usedBytes());
+    }
+
+    /**
+     * What concerns clients and engines happens at once, what concerns the disk when the threads come to it.
+     */
+    private void handle(Step action) {
+        if (action instanceof Step.Take taken) {
+            Query query = openQueries.get(taken.query());
+            query.answer = taken.answer();
+            requestedPages.put(taken.answer(), new ArrayList<>(List.of(0)));
+        } else if (action instanceof Step.AskPage ask) {
+            requestedPages.get(ask.answer()).add(ask.page());
+        } else if (action instanceof Step.Refuse refuse) {
+            refusedCount++;
+            openQueries.remove(refuse.query()).outcome("refused");
+        } else if (action instanceof Step.Kept done) {
+            keptCount++;
+            Query query = openQueries.remove(done.query());
+            query.outcome("kept");
+            requestedPages.remove(done.answer());
+            heldAnswers.put(done.answer(), new HeldAnswer(query, new Handle(done.answer(), query.tenant, query.repeatable,
+                    done.expiresAt())));
+        } else if (action instanceof Step.Lost gone) {
+            lostCount++;
+            openQueries.remove(gone.query()).outcome("lost");
+            requestedPages.remove(gone.answer());
+        } else if (action instanceof Step.Say say) {
+            rejectedReads.add(say);
+            activeReads.remove(say.reader());
+        } else if (action instanceof Step.Remark remark) {
+            logTexts.add(remark.text());
+        } else {
+            diskActions.add(action);
+        }
+    }
+
+    void begin(String tenant, boolean repeatable, int pages) {
+        Query query = new Query(tenant, repeatable, pages);
+        openQueries.put(query.id, query);
+        send(new Word.Began(query.id, tenant, repeatable, pages));
+    }
+
+    /** A page that was asked for arrives, of any answer. */
+    void deliverPage() {
+        List<AnswerId> waiting = requestedPages.entrySet().stream().filter(e -> !e.getValue().isEmpty())
+                .map(Map.Entry::getKey).toList();
+        if (!waiting.isEmpty()) {
+            AnswerId id = waiting.get(random.nextInt(waiting.size()));
+            List<Integer> pages = requestedPages.get(id);
+            int page = pages.remove(random.nextInt(pages.size()));
+            send(new Word.PageCame(id, page, query(id).text(page).length));
+        }
+    }
+
+    private Query query(AnswerId id) {
+        return openQueries.values().stream().filter(q -> id.equals(q.answer)).findAny()
+                .orElseGet(() -> heldAnswers.get(id).query());
+    }
+
+    void abandonQuery() {
+        List<Query> accepted = openQueries.values().stream().filter(query -> query.answer != null).toList();
+        if (!accepted.isEmpty()) {
+            Query query = accepted.get(random.nextInt(accepted.size()));
+            openQueries.remove(query.id);
+            query.outcome("left");
+            requestedPages.remove(query.answer);
+            abandonedQueries.put(query.answer, query);
+            send(new Word.QueryOver(query.answer));
+        }
+    }
+
+    /** Left while pages of theirs may wait for the disk. */
+    private final Map<AnswerId, Query> abandonedQueries = new HashMap<>();
+
+    void requestPage(HeldAnswer answer, int page) {
+        long readId = ++lastReadId;
+        activeReads.put(readId, page);
+        send(new Word.Asked(readId, answer.handle(), page));
+    }
+
+    void release(HeldAnswer answer) {
+        evictable.add(answer.handle().answer());
+        heldAnswers.remove(answer.handle().answer());
+        send(new Word.Released(answer.handle()));
+    }
+
+    /** The threads behind the loop do their next step; false if there is none. */
+    boolean runDiskAction() {
+        Step action = diskActions.poll();
+        if (action == null) {
+            sync();
+            Word event = diskEvents.poll();
+            if (event != null) {
+                send(event);
+            }
+            return event != null || !diskActions.isEmpty();
+        }
+        long segment = action instanceof Step.OpenSegment open ? open.segment()
+                : action instanceof Step.Write write ? write.segment()
+                : action instanceof Step.CommitAnswer commit ? commit.segment()
+                : action instanceof Step.MoveAnswer move ? move.targetSegment() : -1;
+        try {
+            if (segment < 0 || !failedSegments.contains(segment)) {
+                perform(action);
+            }
+        } catch (IOException e) {
+            if (segment >= 0) {
+                failSegment(segment, e);
+            }
+        }
+        if (action instanceof Step.Write write) {
+            diskEvents.add(new Word.PageWritten(write.answer(), write.page()));
+        }
+        if (random.nextInt(4) == 0) {
+            sync();
+        }
+        while (!diskEvents.isEmpty() && random.nextInt(5) > 0) {
+            send(diskEvents.poll());
+        }
+        return true;
+    }
+
+    void runUntilIdle() {
+        while (runDiskAction()) {
+            // until nothing is left to do
+        }
+    }
+
+    private void perform(Step action) throws IOException {
+        if (action instanceof Step.OpenSegment open) {
+            store.open(open.segment());
+        } else if (action instanceof Step.Write write) {
+            Query query = abandonedQueries.containsKey(write.answer()) ? abandonedQueries.get(write.answer())
+                    : openQueries.values().stream().filter(b ->
+                            write.answer().equals(b.answer)).findAny().orElse(null);
+            byte[] text = query == null ? new byte[1] : query.text(write.page());
+            store.write(write.answer(), write.segment(), write.page(), ByteBuffer.wrap(text));
+        } else if (action instanceof Step.CommitAnswer commit) {
+            store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
+                    commit.pages(),
+                    commit.expiresAt());
+            unsyncedEvents.computeIfAbsent(commit.segment(), k -> new ArrayList<>())
+                    .add(new Word.AnswerCommitted(commit.answer()));
+        } else if (action instanceof Step.MoveAnswer move) {
+            try {
+                store.move(move.answer(), move.targetSegment());
+                unsyncedEvents.computeIfAbsent(move.targetSegment(), k -> new ArrayList<>())
+                        .add(new Word.AnswerMoved(move.answer(), move.targetSegment()));
+            } catch (Store.CorruptDataException e) {
+                corrupt.add(move.answer());
+                diskEvents.add(new Word.MoveFailed(move.answer(), move.targetSegment(), e.getMessage()));
+            }
+        } else if (action instanceof Step.DropAnswer drop) {
+            store.drop(drop.answer());
+        } else if (action instanceof Step.SealSegment seal) {
+            sync();
+            store.seal(seal.segment());
+        } else if (action instanceof Step.DeleteSegment delete) {
+            unsyncedEvents.remove(delete.segment());
+            failedSegments.remove(delete.segment());
+            store.delete(delete.segment());
+        } else if (action instanceof Step.ReadPage page) {
+            readPage(page);
+        }
+    }
+
+    private void readPage(Step.ReadPage request) {
+        HeldAnswer answer = heldAnswers.get(request.answer());
+        try {
+            ByteBuffer text = store.read(request.answer(), request.page());
+            byte[] bytes = new byte[text.remaining()];
+            text.get(bytes);
+            require(answer == null || Arrays.equals(bytes, answer.query().text(request.page())),
+                    "other bytes than were kept");
+            pagesRead++;
+            if (answer != null && request.page() == answer.query().pageCount - 1) {
+                evictable.add(request.answer());
+            }
+            activeReads.remove(request.readId());
+            diskEvents.add(new Word.PageRead(request.readId(), request.answer(), request.page()));
+        } catch (IOException e) {
+            corrupt.add(request.answer());
+            diskEvents.add(new Word.PageCorrupt(request.readId(), request.answer(), request.page(), e.getMessage()));
+        }
+    }
+
+    private void sync() {
+        for (long segment : List.copyOf(unsyncedEvents.keySet())) {
+            try {
+                store.sync(segment);
+                diskEvents.addAll(unsyncedEvents.getOrDefault(segment, List.of()));
+            } catch (IOException e) {
+                failSegment(segment, e);
+            }
+            unsyncedEvents.remove(segment);
+        }
+    }
+
+    private void failSegment(long segment, IOException e) {
+        unsyncedEvents.remove(segment);
+        if (failedSegments.add(segment)) {
+            diskEvents.add(new Word.SegmentFailed(segment, e.getMessage()));
+        }
+    }
+
+    /** Whatever a client holds a handle of and may count on is there, to the byte. */
+    void checkHeldAnswers() {
+        for (HeldAnswer answer : heldAnswers.values()) {
+            AnswerId id = answer.handle().answer();
+            if (now < answer.handle().expiresAt() && !evictable.contains(id) && !corrupt.contains(id)) {
+                for (int page = 0; page < answer.query().pageCount; page++) {
+                    rejectedReads.clear();
+                    int before = pagesRead;
+                    requestPage(answer, page);
+                    runUntilIdle();
+                    require(pagesRead > before, "page " + page + " of " + id + " is gone: " + rejectedReads + logTexts);
+                }
+            }
+        }
+    }
+
+    static void require(boolean holds, String message) {
+        if (!holds) {
+            throw new AssertionError(message);
+        }
+    }
+}
--- a/src/test/java/reedspring/spool/store/KeeperTest.java
+++ b/src/test/java/reedspring/spool/store/KeeperTest.java
@@ -111,7 +111,7 @@
 
     private void keep(AnswerId id, long segment) {
         keeper.accept(new Step.Write(id, segment, 0), ByteBuffer.wrap(("of " + id).getBytes()));
-        keeper.accept(new Step.Commit(id, segment, "acme", true, 1, Long.MAX_VALUE), null);
+        keeper.accept(new Step.CommitAnswer(id, segment, "acme", true, 1, Long.MAX_VALUE), null);
     }
 
     @Example
@@ -119,21 +119,21 @@
         AnswerId first = new AnswerId(1, 1);
         AnswerId second = new AnswerId(2, 2);
         keeper.start();
-        keeper.accept(new Step.Open(1), null);
+        keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.Committed(first)));
+        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
         goOn = new CountDownLatch(1);
         keep(second, 1);
         // The page waits in memory no more, but the answer is not safe yet.
-        await("its page", () -> words.contains(new Word.Written(second, 0)));
+        await("its page", () -> words.contains(new Word.PageWritten(second, 0)));
         keeper.accept(new Step.ReadPage(7, first, 1, 0), null);
         await("a page meanwhile", () -> words.contains(new Word.PageRead(7, first, 0)));
         assertEquals(List.of("of " + first), pages);
         Thread.sleep(100);
-        assertFalse(words.contains(new Word.Committed(second)));
+        assertFalse(words.contains(new Word.AnswerCommitted(second)));
         assertFalse(keeper.close(50), "the end waits no longer than it is told to");
         goOn.countDown();
-        await("the second", () -> words.contains(new Word.Committed(second)));
+        await("the second", () -> words.contains(new Word.AnswerCommitted(second)));
     }
 
     /** An answer that was acknowledged is owed, whatever the disk does for a while. */
@@ -141,14 +141,14 @@
     void aReadThatFailsForAWhileCostsNoAnswer() throws Exception {
         AnswerId first = new AnswerId(1, 1);
         keeper.start();
-        keeper.accept(new Step.Open(1), null);
+        keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.Committed(first)));
+        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
         readsFail = true;
         keeper.accept(new Step.ReadPage(7, first, 1, 0), null);
-        await("what became of it", () -> words.stream().anyMatch(word -> word instanceof Word.PageUnread
-                || word instanceof Word.PageDamaged));
-        assertTrue(words.stream().noneMatch(Word.PageDamaged.class::isInstance), "called damaged: " + words);
+        await("what became of it", () -> words.stream().anyMatch(word -> word instanceof Word.PageReadFailed
+                || word instanceof Word.PageCorrupt));
+        assertTrue(words.stream().noneMatch(Word.PageCorrupt.class::isInstance), "called damaged: " + words);
         readsFail = false;
         keeper.accept(new Step.ReadPage(8, first, 1, 0), null);
         await("its page", () -> words.contains(new Word.PageRead(8, first, 0)));
@@ -159,9 +159,9 @@
     void aStartOnADiskThatFailsFindsWhatWasKept() throws Exception {
         AnswerId first = new AnswerId(1, 1);
         keeper.start();
-        keeper.accept(new Step.Open(1), null);
+        keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.Committed(first)));
+        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
         disk.restart();
         disk.faults(1);
         readsFail = true;
@@ -180,7 +180,7 @@
         next.start();
         Thread.sleep(200);
         readsFail = false;
-        await("what was kept", () -> words.stream().anyMatch(word -> word instanceof Word.Found found
+        await("what was kept", () -> words.stream().anyMatch(word -> word instanceof Word.Recovered found
                 && found.answers().stream().anyMatch(answer -> answer.answer().equals(first))));
         next.accept(new Step.ReadPage(7, first, 1, 0), null);
         await("its page", () -> pages.contains("read"));
@@ -193,9 +193,9 @@
         AnswerId second = new AnswerId(2, 2);
         AnswerId third = new AnswerId(3, 3);
         keeper.start();
-        keeper.accept(new Step.Open(1), null);
+        keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.Committed(first)));
+        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
         goOn = new CountDownLatch(1);
         keep(second, 1);
         disk.faults(1);
@@ -203,17 +203,17 @@
         await("the failure", () -> words.stream().anyMatch(Word.SegmentFailed.class::isInstance));
         disk.faults(0);
         keep(third, 1);
-        await("its page, which is let go", () -> words.contains(new Word.Written(third, 0)));
-        keeper.accept(new Step.Seal(1), null);
-        keeper.accept(new Step.Open(2), null);
+        await("its page, which is let go", () -> words.contains(new Word.PageWritten(third, 0)));
+        keeper.accept(new Step.SealSegment(1), null);
+        keeper.accept(new Step.OpenSegment(2), null);
         keep(third, 2);
-        await("the third elsewhere", () -> words.contains(new Word.Committed(third)));
+        await("the third elsewhere", () -> words.contains(new Word.AnswerCommitted(third)));
         assertEquals(1, words.stream().filter(Word.SegmentFailed.class::isInstance).count());
-        assertFalse(words.contains(new Word.Committed(second)));
+        assertFalse(words.contains(new Word.AnswerCommitted(second)));
         assertTrue(keeper.close(5_000));
         // What was acknowledged is there for the next process, and nothing else.
         disk.restart();
-        Word.Found found = new Store(disk, "n0", 100).recover(remark -> { });
-        assertEquals(List.of(first, third), found.answers().stream().map(Word.FoundAnswer::answer).toList());
+        Word.Recovered found = new Store(disk, "n0", 100).recover(remark -> { });
+        assertEquals(List.of(first, third), found.answers().stream().map(Word.RecoveredAnswer::answer).toList());
     }
 }
