--- a/src/main/java/reedspring/spool/AnswerId.java
+++ b/src/main/java/reedspring/spool/AnswerId.java
@@ -1,6 +1,6 @@
 package reedspring.spool;
 
-/** The 128 random bits by which an answer that is kept is known. */
+/** The 128-bit random identifier of a kept answer. */
 public record AnswerId(long high, long low) {
     @Override
     public String toString() {
--- a/src/main/java/reedspring/spool/Handle.java
+++ b/src/main/java/reedspring/spool/Handle.java
@@ -1,8 +1,8 @@
 package reedspring.spool;
 
 /**
- * What a handle says once its seal has proved to be this front's, for this tenant. Times are Unix tenths of a
- * ms.
+ * The content of a handle whose authentication code was verified for this front and tenant.
+ * {@code expiresAt} is Unix time in ticks (one tick is a tenth of a millisecond).
  */
 public record Handle(AnswerId answer, String tenant, boolean repeatable, long expiresAt) {
 }
--- a/src/main/java/reedspring/spool/Handles.java
+++ b/src/main/java/reedspring/spool/Handles.java
@@ -11,11 +11,12 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Writes and reads handles: an answer's random bits, whether its query may be repeated, its end, and a seal
- * (HMAC-SHA256, 128 bits of it) over these, the front's name and the tenant's. What is not sealed for this
- * front and tenant reads as nothing at all, so that a stranger can't tell a kept answer from none.
+ * Encodes and decodes handles. A handle holds the answer's id, whether its query is repeatable, its expiry
+ * time and a message authentication code: the first 128 bits of an HMAC-SHA256 over these fields, the name of
+ * the front and the tenant. A handle that was not issued by this front to this tenant decodes to null, so
+ * that another party can't tell an existing answer from a missing one.
  *
- * <p>The first key seals; all of them open, so that a key can be changed while handles are out.
+ * <p>The first key signs; every key verifies, so that keys can be rotated while handles are in use.
  */
 public final class Handles {
     private static final byte VERSION = 1;
@@ -27,10 +28,10 @@
     private final List<byte[]> keys;
     private final byte[] front;
 
-    /** @throws IllegalArgumentException without a key, or with one of under 16 bytes */
+    /** @throws IllegalArgumentException if there is no key, or a key is shorter than 16 bytes */
     public Handles(String front, List<byte[]> keys) {
         if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
-            throw new IllegalArgumentException("a key of at least " + MIN_KEY_BYTES + " bytes is needed");
+            throw new IllegalArgumentException("handles need a key of at least " + MIN_KEY_BYTES + " bytes");
         }
         this.front = front.getBytes(StandardCharsets.UTF_8);
         this.keys = keys.stream().map(byte[]::clone).toList();
@@ -45,7 +46,7 @@
         return Base64.getUrlEncoder().withoutPadding().encodeToString(encoded.array());
     }
 
-    /** Null for what is no handle of this front for this tenant. */
+    /** Returns null if the text isn't a valid handle that this front issued to the tenant. */
     public Handle read(String text, String tenant) {
         byte[] encoded;
         try {
@@ -61,7 +62,8 @@
             if (keyHint(key) == encoded[1] && MessageDigest.isEqual(mac(key, encoded, tenant), receivedMac)) {
                 ByteBuffer payload = ByteBuffer.wrap(encoded, 2, PAYLOAD_BYTES - 2);
                 boolean repeatable = payload.get() == 1;
-                return new Handle(new AnswerId(payload.getLong(), payload.getLong()), tenant, repeatable, payload.getLong());
+                return new Handle(new AnswerId(payload.getLong(), payload.getLong()), tenant, repeatable,
+                        payload.getLong());
             }
         }
         return null;
@@ -72,7 +74,7 @@
             Mac mac = Mac.getInstance(MAC_ALGORITHM);
             mac.init(new SecretKeySpec(key, MAC_ALGORITHM));
             mac.update(encoded, 0, PAYLOAD_BYTES);
-            // Lengths, so that no front's name and tenant read as another pair's.
+            // The length keeps two pairs of front and tenant with the same concatenation apart.
             mac.update(ByteBuffer.allocate(Integer.BYTES).putInt(front.length).array());
             mac.update(front);
             mac.update(tenant.getBytes(StandardCharsets.UTF_8));
@@ -82,7 +84,7 @@
         }
     }
 
-    /** A hint at the key, so that a handle is mostly tried with one. */
+    /** First byte of the key's digest: most handles are then checked against one key only. */
     private static byte keyHint(byte[] key) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(key)[0];
--- a/src/main/java/reedspring/spool/Spool.java
+++ b/src/main/java/reedspring/spool/Spool.java
@@ -13,21 +13,24 @@
 import reedspring.spool.Step.Reason;
 
 /**
- * Decides on answers that are kept on disk so that their engine is free: which are taken, what room they get,
- * when pages are asked for, what is given up and what readers are told. Make one with its terms, hand it what
- * was found on the disk first ({@link Word.Recovered}), then each word to {@link #on} with its time; what has to
- * be done comes out of the consumer, in order, before the call returns. Not for use by several threads. Times
- * are Unix time in whole tenths of a millisecond. No I/O: whoever calls it does the steps. Reasons:
- * docs/spool.md.
+ * Manages answers that are kept on disk so that their engines are free for other queries: accepts answers,
+ * reserves disk space, requests pages from engines, evicts answers and admits reads. Events go to {@link #on}
+ * with the time at which they occurred; no answer is accepted before {@link Word.Recovered}. The resulting
+ * actions are passed to the consumer, in order, before the call returns. Does no I/O; the caller performs the
+ * actions. Not thread-safe. Times are Unix time in ticks (one tick is a tenth of a millisecond). The design
+ * is described in docs/spool.md.
  *
- * <p>Room is reckoned in what lies on the disk. A segment goes as a whole once nothing in it is wanted; so
- * what is dead in a segment counts until then, and what lives on in one that is mostly dead is moved.
+ * <p>Space is accounted as disk usage. A segment is deleted as a whole once it holds no live answer. Dead
+ * bytes count until then, and the live answers of a mostly dead segment are moved to another segment.
  */
 public final class Spool {
-    /** Over this part of the room, segments of which more than {@code DEAD} is dead are cleared. */
+    /**
+     * Above this disk usage, segments with more than {@code COMPACTION_DEAD_RATIO} of dead bytes are
+     * compacted.
+     */
     private static final double COMPACTION_FILL_RATIO = 0.6;
     private static final double COMPACTION_DEAD_RATIO = 0.3;
-    /** A page is read in less than this, so that a reader who is told to wait for it finds room. */
+    /** Longer than a page read takes, so that a rejected read is likely to be admitted on retry. */
     private static final long BUSY_RETRY_TICKS = 1_000;
 
     private final Terms terms;
@@ -43,17 +46,17 @@
     private long activeSegment = -1;
     private long lastSegment;
     private long reservedBytes;
-    /** Pages that were asked for or wait to be written, at the most that they may hold. */
+    /** Pages that were requested or wait to be written, each counted at the maximum page size. */
     private long bufferedBytes;
     private Answer movingAnswer;
     private long moveTarget;
-    /** Whether it is known what lies on the disk. */
+    /** Whether recovery has reported what is on disk. */
     private boolean recovered;
     private boolean unusable;
     private long backoffUntil;
     private long backoff;
 
-    /** One answer, from its announcement until nothing of it is wanted. */
+    /** An answer, from its announcement until it is dropped. */
     private static final class Answer {
         private AnswerId id;
         private Id.Query query;
@@ -67,7 +70,7 @@
         private boolean committing;
         private int pagesRequested;
         private int pagesReceived;
-        /** While it is being filled: the sizes of the pages that wait to be written. */
+        /** Before the commit: sizes of the pages that wait to be written. */
         private final Map<Integer, Integer> unwrittenPageSizes = new HashMap<>();
         private boolean readToEnd;
         private long lastReadAt;
@@ -83,26 +86,26 @@
         private boolean sealed;
     }
 
-    /** What one tenant holds. */
+    /** Resource usage of one tenant. */
     private static final class TenantUsage {
         private long bytes;
         private int answers;
         private int activeReads;
     }
 
-    /** @param ids 64 bits that nobody can guess, for the names of answers */
-    public Spool(Terms terms, LongSupplier ids) {
+    /** @param randomBits returns 64 unpredictable bits per call, for answer ids */
+    public Spool(Terms terms, LongSupplier randomBits) {
         this.terms = terms;
-        this.randomBits = ids;
+        this.randomBits = randomBits;
         this.backoff = terms.initialBackoff();
     }
 
-    /** Takes one word at its time and gives out what follows from it. */
+    /** Processes one event and passes the resulting actions to the consumer. */
     public void on(long time, Word event, Consumer<Step> consumer) {
         now = Math.max(now, time);
         actions = consumer;
-        if (event instanceof Word.Began began) {
-            startAnswer(began);
+        if (event instanceof Word.Began started) {
+            startAnswer(started);
         } else if (event instanceof Word.PageCame page) {
             pageReceived(page);
         } else if (event instanceof Word.PageWritten written) {
@@ -111,16 +114,16 @@
             answerCommitted(committed.answer());
         } else if (event instanceof Word.SegmentFailed failed) {
             segmentFailed(failed);
-        } else if (event instanceof Word.QueryOver over) {
-            abandon(uncommitted.get(over.answer()));
-        } else if (event instanceof Word.Asked asked) {
-            startRead(asked);
+        } else if (event instanceof Word.QueryOver ended) {
+            abandon(uncommitted.get(ended.answer()));
+        } else if (event instanceof Word.Asked request) {
+            startRead(request);
         } else if (event instanceof Word.PageRead read) {
             pageRead(read);
-        } else if (event instanceof Word.PageReadFailed unread) {
-            pageReadFailed(unread);
-        } else if (event instanceof Word.PageCorrupt damaged) {
-            pageCorrupt(damaged);
+        } else if (event instanceof Word.PageReadFailed readFailed) {
+            pageReadFailed(readFailed);
+        } else if (event instanceof Word.PageCorrupt corrupt) {
+            pageCorrupt(corrupt);
         } else if (event instanceof Word.Released released) {
             Answer answer = find(released.handle());
             if (answer != null) {
@@ -130,14 +133,15 @@
             answerMoved(moved);
         } else if (event instanceof Word.MoveFailed moveFailed) {
             moveFailed(moveFailed);
-        } else if (event instanceof Word.Recovered found) {
+        } else if (event instanceof Word.Recovered contents) {
             recovered = true;
-            restore(found);
+            restore(contents);
         } else if (event instanceof Word.Unusable unusableEvent) {
             unusable = true;
-            actions.accept(new Step.Remark("spool can't be used, nothing is kept: " + unusableEvent.reason()));
-        } else if (event instanceof Word.StoreNotice remarked) {
-            actions.accept(new Step.Remark("spool: " + remarked.text()));
+            actions.accept(new Step.Remark("spool can't be used, no answers are kept: "
+                    + unusableEvent.reason()));
+        } else if (event instanceof Word.StoreNotice notice) {
+            actions.accept(new Step.Remark("spool: " + notice.text()));
         } else if (event instanceof Word.Tick) {
             tick();
         }
@@ -145,43 +149,47 @@
         sealAndDeleteSegments();
     }
 
-    /** Bytes on the disk and those that begun answers may still take. */
+    /** Size of all segments plus the space reserved for uncommitted answers. */
     public long usedBytes() {
         return reservedBytes + segments.values().stream().mapToLong(segment -> segment.bytes).sum();
     }
 
-    /** Answers that can be read. */
+    /** Number of committed answers. */
     public int keptAnswers() {
         return answers.size();
     }
 
-    /** What is asked of engines or waits for the disk, in bytes at most. */
+    /** Upper bound of the bytes that are requested from engines or wait to be written. */
     public long bufferedBytes() {
         return bufferedBytes;
     }
 
-    /** Rows of all kinds, for those who watch that none is kept for good. */
+    /** Number of entries in all tables, for tests that check for leaks. */
     int trackedEntries() {
-        return answers.size() + uncommitted.size() + answerByQuery.size() + segments.size() + usageByTenant.size()
+        return answers.size() + uncommitted.size() + answerByQuery.size() + segments.size()
+                + usageByTenant.size()
                 + activeReads.size();
     }
 
-    // ---- room
+    // ---- space
 
     private void startAnswer(Word.Began started) {
         long maxBytes = terms.maxDiskBytes(started.pages()) + Terms.SEGMENT_OVERHEAD_BYTES;
-        String rejection = started.pages() < 1 || maxBytes > terms.maxAnswerBytes() ? "the answer is too long"
-                : !recovered ? "the spool is not ready" : now < backoffUntil ? "the disk fails" : null;
-        // The first page comes unasked: of answers that begin while the disk stands still, each would hold
-        // one.
+        String rejection = started.pages() < 1 || maxBytes > terms.maxAnswerBytes()
+                ? "answer exceeds the size limit"
+                : !recovered ? "spool recovery is not finished" : now < backoffUntil ? "disk failed recently"
+                : null;
+        // The first page arrives without being requested: while the disk is stalled, each new answer would
+        // buffer one.
         if (rejection == null && bufferedBytes + terms.pageBytes() > 2 * terms.inMemory()) {
-            rejection = "too much waits for the disk";
+            rejection = "too many bytes wait to be written";
         }
-        if (rejection == null && !makeRoom(started, maxBytes)) {
-            rejection = "no room";
+        if (rejection == null && !evictFor(started, maxBytes)) {
+            rejection = "spool is full";
         }
         if (rejection != null) {
-            actions.accept(new Step.Refuse(started.query(), rejection, retryAfter(started.tenant(), rejection)));
+            actions.accept(new Step.Refuse(started.query(), rejection,
+                    retryAfter(started.tenant(), rejection)));
             return;
         }
         Segment segment = segments.get(activeSegment);
@@ -198,7 +206,7 @@
         segment.uncommittedAnswers++;
         reserve(answer, maxBytes - Terms.SEGMENT_OVERHEAD_BYTES);
         usage(answer.tenant).answers++;
-        // Page 0 is here already.
+        // Page 0 came with the announcement.
         answer.pagesRequested = 1;
         bufferedBytes += terms.pageBytes();
         uncommitted.put(answer.id, answer);
@@ -215,10 +223,11 @@
     }
 
     /**
-     * Whether the answer fits, once what was read to its end is given up for it: the tenant's own where its
-     * part is full, anybody's where all of it is. What waits to be read is never given up before its time.
+     * Evicts answers that were read to their end until the new answer fits: the tenant's own if its limit is
+     * reached, those of any tenant if the spool is full. Returns false if it still doesn't fit. Answers that
+     * were not read to their end are never evicted before they expire.
      */
-    private boolean makeRoom(Word.Began started, long maxBytes) {
+    private boolean evictFor(Word.Began started, long maxBytes) {
         long tenantLimit = (long) (terms.total() * terms.tenantPart());
         long totalLimit = (long) (terms.total() * (started.repeatable() ? 1 - terms.headroomRatio() : 1));
         while (usage(started.tenant()).bytes + maxBytes > tenantLimit) {
@@ -236,7 +245,10 @@
         return true;
     }
 
-    /** The answer that was read to its end longest ago, of one tenant or of all; false if there is none. */
+    /**
+     * Drops the fully read answer that was last read the longest time ago, of one tenant or, for null, of
+     * any. Returns false if there is none.
+     */
     private boolean evictOldestRead(String tenant) {
         Answer oldest = answers.values().stream()
                 .filter(answer -> answer.readToEnd && answer.activeReads == 0 && answer != movingAnswer
@@ -248,12 +260,13 @@
         return oldest != null;
     }
 
-    /** When the first of what stands in the way goes by itself. */
+    /** Ticks until the cause of the rejection may be gone; 0 if waiting doesn't help. */
     private long retryAfter(String tenant, String rejection) {
         if (now < backoffUntil) {
             return backoffUntil - now;
         }
-        return rejection.equals("too much waits for the disk") ? terms.initialBackoff() : rejection.equals("no room")
+        return rejection.equals("too many bytes wait to be written") ? terms.initialBackoff()
+                : rejection.equals("spool is full")
                 ? Math.max(1, answers.values().stream()
                 .mapToLong(answer -> answer.expiresAt - now).min().orElse(terms.initialBackoff())) : 0;
     }
@@ -269,14 +282,14 @@
         }
     }
 
-    /** Sets what the answer may still take on the disk. */
+    /** Sets the space that remains reserved for the answer. */
     private void reserve(Answer answer, long bytes) {
         reservedBytes += bytes - answer.reservedBytes;
         usage(answer.tenant).bytes += bytes - answer.reservedBytes;
         answer.reservedBytes = bytes;
     }
 
-    /** What was reserved is there. */
+    /** Accounts for bytes of the answer that are now on disk. */
     private void addWritten(Answer answer, long bytes) {
         answer.writtenBytes += bytes;
         usage(answer.tenant).bytes += bytes;
@@ -285,7 +298,7 @@
         segment.liveBytes += bytes;
     }
 
-    // ---- filling
+    // ---- receiving and committing
 
     private void pageReceived(Word.PageCame page) {
         Answer answer = uncommitted.get(page.answer());
@@ -298,7 +311,8 @@
         if (answer.pagesReceived == answer.pageCount) {
             answer.committing = true;
             answer.expiresAt = now + terms.keepFor();
-            actions.accept(new Step.CommitAnswer(answer.id, answer.segment, answer.tenant, answer.repeatable, answer.pageCount,
+            actions.accept(new Step.CommitAnswer(answer.id, answer.segment, answer.tenant, answer.repeatable,
+                    answer.pageCount,
                     answer.expiresAt));
         }
     }
@@ -313,13 +327,14 @@
         }
     }
 
-    /** Asks engines for pages as far as there is memory for them, each answer in its turn. */
+    /** Requests pages from engines, round-robin over the answers, while the buffer limit allows it. */
     private void fetchPages() {
         boolean progress = true;
         while (progress && bufferedBytes + terms.pageBytes() <= terms.inMemory()) {
             progress = false;
             for (Answer answer : uncommitted.values()) {
-                if (answer.pagesRequested < answer.pageCount && bufferedBytes + terms.pageBytes() <= terms.inMemory()) {
+                if (answer.pagesRequested < answer.pageCount && bufferedBytes
+                        + terms.pageBytes() <= terms.inMemory()) {
                     bufferedBytes += terms.pageBytes();
                     actions.accept(new Step.AskPage(answer.id, answer.pagesRequested++));
                     progress = true;
@@ -333,7 +348,7 @@
         if (answer == null) {
             return;
         }
-        // The disk works again.
+        // A commit proves that the disk works.
         backoff = terms.initialBackoff();
         answerByQuery.remove(answer.query);
         reserve(answer, 0);
@@ -345,22 +360,23 @@
         actions.accept(new Step.Kept(answer.query, id, answer.pageCount, answer.expiresAt));
     }
 
-    /** Its query has ended otherwise, so that what is there of it is dead. */
+    /** Stops tracking an uncommitted answer; its bytes on disk are dead. */
     private void abandon(Answer answer) {
         if (answer == null) {
             return;
         }
         uncommitted.remove(answer.id);
         answerByQuery.remove(answer.query);
-        // What has come is in memory until it is written, wanted or not.
+        // Received pages stay in memory until they are written, even for an abandoned answer.
         bufferedBytes -= (long) (answer.pagesRequested - answer.pagesReceived) * terms.pageBytes();
         reserve(answer, 0);
         TenantUsage tenantUsage = usage(answer.tenant);
         tenantUsage.bytes -= answer.writtenBytes;
         tenantUsage.answers--;
         Segment segment = segments.get(answer.segment);
-        // What was handed over may be written all the same, or lie there in part.
-        segment.bytes += answer.unwrittenPageSizes.values().stream().mapToInt(bytes -> bytes + Terms.PAGE_OVERHEAD_BYTES).sum()
+        // Pages already passed on for writing may still reach the disk, in whole or in part.
+        segment.bytes += answer.unwrittenPageSizes.values().stream().mapToInt(bytes -> bytes
+                + Terms.PAGE_OVERHEAD_BYTES).sum()
                 + (answer.committing ? Terms.ANSWER_OVERHEAD_BYTES : 0);
         segment.liveBytes -= answer.writtenBytes;
         segment.uncommittedAnswers--;
@@ -369,8 +385,8 @@
     }
 
     /**
-     * After a failed write or sync nobody knows what of the segment is on the disk since the last commit: all
-     * that was being filled there is lost, what was committed before stays. For a time nothing is begun.
+     * After a failed write or sync the state of the segment since its last commit is unknown. Its uncommitted
+     * answers are lost, the committed ones stay, and no answer is accepted until the backoff has passed.
      */
     private void segmentFailed(Word.SegmentFailed failed) {
         Segment segment = segments.get(failed.segment());
@@ -405,10 +421,11 @@
 
     // ---- reading
 
-    /** The answer that the handle names, or null if it is not kept any more. */
+    /** Returns the answer of the handle, or null if it is no longer kept. */
     private Answer find(Handle handle) {
         Answer answer = answers.get(handle.answer());
-        return answer == null || !answer.tenant.equals(handle.tenant()) || now >= answer.expiresAt ? null : answer;
+        return answer == null || !answer.tenant.equals(handle.tenant()) || now >= answer.expiresAt ? null
+                : answer;
     }
 
     private void startRead(Word.Asked request) {
@@ -423,12 +440,14 @@
             reason = Reason.GONE;
         } else if (request.page() < 0 || request.page() >= answer.pageCount) {
             reason = Reason.NO_SUCH_PAGE;
-        } else if (activeReads.size() >= terms.reads() || usage(answer.tenant).activeReads >= terms.maxReadsPerTenant()
+        } else if (activeReads.size() >= terms.reads()
+                || usage(answer.tenant).activeReads >= terms.maxReadsPerTenant()
                 || activeReads.containsKey(request.readId())) {
             reason = Reason.BUSY;
         }
         if (reason != null) {
-            actions.accept(new Step.Say(request.readId(), reason, reason == Reason.BUSY ? BUSY_RETRY_TICKS : 0));
+            actions.accept(new Step.Say(request.readId(), reason, reason == Reason.BUSY ? BUSY_RETRY_TICKS
+                    : 0));
             return;
         }
         activeReads.put(request.readId(), answer.tenant);
@@ -458,27 +477,28 @@
         }
     }
 
-    /** Its client comes again; the answer is still owed. */
+    /** Tells the client to retry: the answer is still kept. */
     private void pageReadFailed(Word.PageReadFailed failed) {
         finishRead(failed.readId(), failed.answer());
         boolean kept = answers.containsKey(failed.answer());
-        actions.accept(new Step.Remark("spool page not read: " + failed.reason()));
-        actions.accept(new Step.Say(failed.readId(), kept ? Reason.BUSY : Reason.GONE, kept ? BUSY_RETRY_TICKS : 0));
+        actions.accept(new Step.Remark("spool page read failed: " + failed.reason()));
+        actions.accept(new Step.Say(failed.readId(), kept ? Reason.BUSY : Reason.GONE, kept ? BUSY_RETRY_TICKS
+                : 0));
     }
 
-    /** An answer of which a page is spoilt is none: nobody can be given all of it any more. */
+    /** Drops an answer with a corrupt page, as it can't be delivered completely any more. */
     private void pageCorrupt(Word.PageCorrupt corrupt) {
         finishRead(corrupt.readId(), corrupt.answer());
         Answer answer = answers.get(corrupt.answer());
-        // It may have been given up, and its segment deleted, while the page was being looked for.
+        // The answer may have been dropped, and its segment deleted, during the read.
         actions.accept(new Step.Say(corrupt.readId(), answer == null ? Reason.GONE : Reason.DAMAGED, 0));
         if (answer != null) {
-            actions.accept(new Step.Remark("spool answer damaged, given up: " + corrupt.reason()));
+            actions.accept(new Step.Remark("spool answer corrupt, dropped: " + corrupt.reason()));
             drop(answer);
         }
     }
 
-    // ---- what goes
+    // ---- dropping, expiry and compaction
 
     private void drop(Answer answer) {
         answers.remove(answer.id);
@@ -502,7 +522,7 @@
         compact();
     }
 
-    /** Seals what is full and deletes what nothing in it is wanted of. */
+    /** Seals full segments and deletes segments without live answers. */
     private void sealAndDeleteSegments() {
         for (Map.Entry<Long, Segment> entry : List.copyOf(segments.entrySet())) {
             Segment segment = entry.getValue();
@@ -518,7 +538,7 @@
                     activeSegment = -1;
                 }
                 segments.remove(number);
-                // That its answers are dropped stands in another segment by now, and outlives it.
+                // The drop records of its answers are in the active segment and remain there.
                 Segment dropLog = segments.get(activeSegment);
                 if (dropLog != null) {
                     dropLog.bytes += (long) segment.droppedAnswers * Terms.DROP_OVERHEAD_BYTES;
@@ -528,15 +548,19 @@
         }
     }
 
-    /** Moves one answer out of the sealed segment that is dead for the largest part. */
+    /** Starts to move one answer out of the sealed segment with the largest ratio of dead bytes. */
     private void compact() {
-        if (movingAnswer != null || now < backoffUntil || usedBytes() <= terms.total() * COMPACTION_FILL_RATIO) {
+        if (movingAnswer != null || now < backoffUntil
+                || usedBytes() <= terms.total() * COMPACTION_FILL_RATIO) {
             return;
         }
         Map.Entry<Long, Segment> emptiest = segments.entrySet().stream()
-                .filter(entry -> entry.getValue().sealed && entry.getValue().committedAnswers > 0 && entry.getValue().uncommittedAnswers == 0)
-                .filter(entry -> entry.getValue().liveBytes < entry.getValue().bytes * (1 - COMPACTION_DEAD_RATIO))
-                .min(Comparator.comparingDouble(entry -> (double) entry.getValue().liveBytes / entry.getValue().bytes))
+                .filter(entry -> entry.getValue().sealed && entry.getValue().committedAnswers > 0
+                && entry.getValue().uncommittedAnswers == 0)
+                .filter(entry -> entry.getValue().liveBytes
+                        < entry.getValue().bytes * (1 - COMPACTION_DEAD_RATIO))
+                .min(Comparator.comparingDouble(entry ->
+                        (double) entry.getValue().liveBytes / entry.getValue().bytes))
                 .orElse(null);
         if (emptiest == null) {
             return;
@@ -562,7 +586,8 @@
     }
 
     private void answerMoved(Word.AnswerMoved moved) {
-        if (movingAnswer == null || !movingAnswer.id.equals(moved.answer()) || moveTarget != moved.targetSegment()) {
+        if (movingAnswer == null || !movingAnswer.id.equals(moved.answer())
+                || moveTarget != moved.targetSegment()) {
             return;
         }
         Answer answer = movingAnswer;
@@ -570,7 +595,7 @@
         Segment target = segments.get(moved.targetSegment());
         target.bytes += answer.writtenBytes;
         if (answers.get(answer.id) != answer) {
-            // Given up meanwhile: the copy is dead as it comes.
+            // Dropped during the move: the copy is dead.
             actions.accept(new Step.DropAnswer(answer.id, moved.targetSegment()));
             return;
         }
@@ -584,21 +609,24 @@
     }
 
     private void moveFailed(Word.MoveFailed failed) {
-        if (movingAnswer == null || !movingAnswer.id.equals(failed.answer()) || moveTarget != failed.targetSegment()) {
+        if (movingAnswer == null || !movingAnswer.id.equals(failed.answer())
+                || moveTarget != failed.targetSegment()) {
             return;
         }
         Answer answer = movingAnswer;
         segments.get(failed.targetSegment()).bytes += answer.writtenBytes;
         endMove();
-        actions.accept(new Step.Remark("spool answer damaged, given up: " + failed.reason()));
+        actions.accept(new Step.Remark("spool answer corrupt, dropped: " + failed.reason()));
         if (answers.get(answer.id) == answer) {
             drop(answer);
         }
     }
 
-    // ---- the start
+    // ---- recovery
 
-    /** What was whole and has time left is kept; of two copies the later. All the rest is dead. */
+    /**
+     * Keeps complete answers that have not expired, of several copies the latest. All other bytes are dead.
+     */
     private void restore(Word.Recovered contents) {
         for (Word.RecoveredSegment segment : contents.segments()) {
             Segment restored = new Segment();
@@ -638,6 +666,6 @@
         }
         actions.accept(new Step.Remark("spool: " + latest.size() + " answers found, " + expired + " expired, "
                 + incomplete
-                + " not whole"));
+                + " incomplete"));
     }
 }
--- a/src/main/java/reedspring/spool/Terms.java
+++ b/src/main/java/reedspring/spool/Terms.java
@@ -1,32 +1,34 @@
 package reedspring.spool;
 
 /**
- * What the spool is told once. Sizes are bytes, spans whole tenths of a millisecond, parts from 0 to 1.
+ * Limits of the spool, fixed for its lifetime. Sizes are in bytes, durations in ticks (tenths of a
+ * millisecond), ratios range from 0 to 1.
  *
- * @param total what all segments together may take on the disk
- * @param tenantPart of {@code total}, what one tenant's answers may take
- * @param headroom of {@code total}, what is left to answers of queries that must not run twice
- * @param keepFor how long an answer is kept for its client
- * @param longestAnswer announced answers past this are refused whatever room there is
- * @param pageBytes what a page holds at most
- * @param segmentBytes after which no further answer begins in a segment
- * @param inMemory what may be asked of engines or wait for the disk at any time, and as much again of first
- *     pages, which come unasked
- * @param reads pages that are being read from the disk at once, and {@code tenantReads} of them for one
- *     tenant
- * @param firstRest how long nothing is begun after the disk has failed; doubled each time up to
- *     {@code longestRest}
+ * @param total maximum size of all segments on disk
+ * @param tenantPart share of {@code total} that the answers of one tenant may use
+ * @param headroomRatio share of {@code total} reserved for answers of queries that must not run twice
+ * @param keepFor how long a committed answer is kept for its client
+ * @param maxAnswerBytes larger answers are refused even if there is space
+ * @param pageBytes maximum size of a page
+ * @param segmentBytes size from which on no further answer is started in a segment
+ * @param inMemory maximum size of the pages that are requested from engines or wait to be written. First
+ *     pages arrive without being requested and may take as much again.
+ * @param reads maximum number of concurrent page reads
+ * @param maxReadsPerTenant maximum number of concurrent page reads of one tenant
+ * @param initialBackoff how long no answer is accepted after the disk failed; doubles with each further
+ *     failure until an answer is committed
+ * @param maxBackoff upper bound of that time
  */
 public record Terms(long total, double tenantPart, double headroomRatio, long keepFor, long maxAnswerBytes,
                     int pageBytes, long segmentBytes, long inMemory, int reads, int maxReadsPerTenant,
                     long initialBackoff, long maxBackoff) {
-    /** What the format adds at most: to a page, to an answer, to a segment, and for an answer given up. */
+    /** Upper bounds of what the file format adds to a page, an answer and a segment, and of a drop record. */
     public static final int PAGE_OVERHEAD_BYTES = 48;
     public static final int ANSWER_OVERHEAD_BYTES = 768;
     public static final int SEGMENT_OVERHEAD_BYTES = 640;
     public static final int DROP_OVERHEAD_BYTES = 64;
 
-    /** What an answer of so many pages may take. */
+    /** Maximum size on disk of an answer of so many pages, without the overhead of its segment. */
     public long maxDiskBytes(int pages) {
         return (long) pages * (pageBytes + PAGE_OVERHEAD_BYTES) + ANSWER_OVERHEAD_BYTES;
     }
--- a/src/main/java/reedspring/spool/store/Disk.java
+++ b/src/main/java/reedspring/spool/store/Disk.java
@@ -6,40 +6,43 @@
 import java.util.List;
 
 /**
- * The files of one folder, as far as the store needs them. What was written is there after a crash only if it
- * was synced, and a name only if the names were.
+ * The file operations that the store needs, within one directory. Written data survives a crash only if the
+ * file was synced; a created, renamed or deleted name only if the directory was synced.
  */
 public interface Disk extends Closeable {
+    /** Names of the files in the directory. */
     List<String> list() throws IOException;
 
-    /** A new file; fails if there is one of that name. */
+    /** Creates a file; fails if one of that name exists. */
     Out create(String name) throws IOException;
 
     In open(String name) throws IOException;
 
-    /** Takes the place of a file of that name. */
+    /** Renames atomically, replacing an existing file of the target name. */
     void rename(String source, String target) throws IOException;
 
     void delete(String name) throws IOException;
 
+    /** Makes created, renamed and deleted names durable. */
     void syncNames() throws IOException;
 
-    /** Is written at its end only. */
+    /** A file that is only appended to. */
     interface Out extends Closeable {
-        /** All that remains in the buffer; after an exception an unknown part of it. */
+        /** Appends the remaining bytes; after an exception, an unknown part of them was written. */
         void write(ByteBuffer bytes) throws IOException;
 
         /**
-         * After an exception nobody knows what since the last sync is on the disk, whatever a second says.
+         * Makes all appended bytes durable. After an exception it is unknown which bytes since the last
+         * successful sync are on disk, even if a later call succeeds.
          */
         void sync() throws IOException;
     }
 
-    /** Can be read at any place, by several threads. */
+    /** A file with positioned reads; safe for use by several threads. */
     interface In extends Closeable {
         long size() throws IOException;
 
-        /** Fills the buffer from that place on, or as far as the file goes. */
+        /** Reads from the position on until the buffer is full or the file ends. */
         void read(ByteBuffer buffer, long position) throws IOException;
     }
 }
--- a/src/main/java/reedspring/spool/store/FileDisk.java
+++ b/src/main/java/reedspring/spool/store/FileDisk.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the machine's, held by one process at a time. */
+/** A directory of the file system, locked by at most one process at a time. */
 public final class FileDisk implements Disk {
     private static final String LOCK_FILE = "lock";
 
     private final Path folder;
     private final FileChannel lockFile;
 
-    /** With {@code alone} false it is looked at beside a front that holds it. */
+    /** @param exclusive whether to lock the directory; without the lock it may be in use by a front */
     public FileDisk(Path folder, boolean exclusive) throws IOException {
         if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + " is no folder");
+            throw new IOException(folder + " is not a directory");
         }
         this.folder = folder;
         this.lockFile = exclusive ? acquireLock(folder) : null;
@@ -35,7 +35,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            // by this very process
+            // this process holds the lock already
         }
         if (lock == null) {
             channel.close();
@@ -62,7 +62,7 @@
             public void write(ByteBuffer bytes) throws IOException {
                 while (bytes.hasRemaining()) {
                     if (file.write(bytes) <= 0) {
-                        throw new IOException("nothing more is taken");
+                        throw new IOException("write made no progress");
                     }
                 }
             }
--- a/src/main/java/reedspring/spool/store/Format.java
+++ b/src/main/java/reedspring/spool/store/Format.java
@@ -10,11 +10,12 @@
 import reedspring.spool.AnswerId;
 
 /**
- * What stands in the spool's files, version 1, all figures big-endian. docs/spool.md has it in full.
+ * File format of the spool, version 1, big-endian. docs/spool.md describes it in full.
  *
- * <p>A segment is a head and records: length of the body, CRC32C over segment number, place and body, body.
- * So a record that lies elsewhere than it was written, in another file or left over from an older one, is no
- * record. An index is one such body behind a head of its own, and tells what a sealed segment holds.
+ * <p>A segment is a header followed by records. A record is the length of its body, a CRC32C over segment
+ * number, file position and body, and the body. The checksum therefore rejects a record at another position,
+ * in another file or left over from an older file. An index is a header and one such body, and describes the
+ * content of a sealed segment.
  */
 final class Format {
     static final int VERSION = 1;
@@ -22,10 +23,10 @@
     static final byte COMMIT = 2;
     static final byte DROP = 3;
     static final int RECORD_HEADER_BYTES = 8;
-    /** Before the text of a page: kind, answer, page. */
+    /** Fields in front of the content of a page: record type, answer id, page number. */
     static final int PAGE_HEADER_BYTES = 1 + 16 + 4;
     static final int MAX_NAME_BYTES = 255;
-    /** What a page may hold by the format, whatever the terms say. */
+    /** Maximum page size of the format, independent of the configured limit. */
     static final int MAX_PAGE_BYTES = 1 << 16;
     private static final long SEGMENT_MAGIC = 0x7265_6564_7370_6f6fL;
     private static final long INDEX_MAGIC = 0x7265_6564_696e_6478L;
@@ -37,39 +38,39 @@
     }
 
     static String segmentFileName(long number) {
-        return name(number, SEGMENT_SUFFIX);
+        return fileName(number, SEGMENT_SUFFIX);
     }
 
-    static String index(long number) {
-        return name(number, INDEX_SUFFIX);
+    static String indexFileName(long number) {
+        return fileName(number, INDEX_SUFFIX);
     }
 
-    static String undone(long number) {
-        return name(number, TEMPORARY_SUFFIX);
+    static String temporaryFileName(long number) {
+        return fileName(number, TEMPORARY_SUFFIX);
     }
 
-    private static String name(long number, String suffix) {
+    private static String fileName(long number, String suffix) {
         return String.format("%016x", number) + suffix;
     }
 
-    /** The number in a name of that kind, or -1. */
-    static long number(String name, String suffix) {
+    /** Returns the segment number in a file name with this suffix, or -1. */
+    static long fileNumber(String name, String suffix) {
         return name.matches("[0-7][0-9a-f]{15}\\" + suffix) ? Long.parseLong(name.substring(0, 16), 16) : -1;
     }
 
     static long segmentNumber(String name) {
-        return number(name, SEGMENT_SUFFIX);
+        return fileNumber(name, SEGMENT_SUFFIX);
     }
 
     static long indexNumber(String name) {
-        return number(name, INDEX_SUFFIX);
+        return fileNumber(name, INDEX_SUFFIX);
     }
 
-    static boolean undone(String name) {
-        return number(name, TEMPORARY_SUFFIX) >= 0;
+    static boolean isTemporary(String name) {
+        return fileNumber(name, TEMPORARY_SUFFIX) >= 0;
     }
 
-    // ---- heads
+    // ---- headers
 
     static ByteBuffer header(long number, String front) {
         return header(SEGMENT_MAGIC, number, front);
@@ -78,7 +79,8 @@
     private static ByteBuffer header(long magic, long number, String front) {
         byte[] name = front.getBytes(StandardCharsets.UTF_8);
         ByteBuffer header = ByteBuffer.allocate(headerBytes(name.length));
-        header.putLong(magic).putShort((short) VERSION).putLong(number).putShort((short) name.length).put(name);
+        header.putLong(magic).putShort((short) VERSION).putLong(number).putShort((short) name.length)
+                .put(name);
         header.putInt(crc(number, 0, header.array(), 0, header.position()));
         return header.flip();
     }
@@ -89,7 +91,7 @@
 
     static final int MAX_HEADER_BYTES = headerBytes(MAX_NAME_BYTES);
 
-    /** Reads past a head; the front's name, or null if it is none of this number. */
+    /** Reads a header and returns the front's name, or null if it isn't a valid header for this number. */
     static String readHeader(ByteBuffer buffer, long number) throws IOException {
         return readHeader(buffer, SEGMENT_MAGIC, number);
     }
@@ -104,12 +106,14 @@
             long headerNumber = buffer.getLong();
             byte[] name = new byte[buffer.getShort()];
             buffer.get(name);
-            if (buffer.getInt() != crc(number, 0, buffer.array(), buffer.arrayOffset() + start, headerBytes(name.length) - 4)
+            if (buffer.getInt() != crc(number, 0, buffer.array(), buffer.arrayOffset() + start,
+                    headerBytes(name.length) - 4)
                     || headerNumber != number) {
                 return null;
             }
             if (version != VERSION) {
-                throw new IOException("version " + version + " of the format, " + VERSION + " is known");
+                throw new IOException("format version " + version + " is not supported, only " + VERSION
+                        + " is");
             }
             return new String(name, StandardCharsets.UTF_8);
         } catch (BufferUnderflowException | NegativeArraySizeException e) {
@@ -120,71 +124,74 @@
     // ---- records
 
     static ByteBuffer pageRecord(long segment, long position, AnswerId id, int page, ByteBuffer text) {
-        ByteBuffer record = newRecord(PAGE_HEADER_BYTES + text.remaining());
-        record.put(PAGE).putLong(id.high()).putLong(id.low()).putInt(page).put(text);
-        return setChecksum(record, segment, position);
+        ByteBuffer encoded = newRecord(PAGE_HEADER_BYTES + text.remaining());
+        encoded.put(PAGE).putLong(id.high()).putLong(id.low()).putInt(page).put(text);
+        return setChecksum(encoded, segment, position);
     }
 
-    /** What makes an answer whole. */
-    record Commit(AnswerId id, long sequence, int pageCount, long expiresAt, boolean repeatable, String tenant) {
+    /** Marks an answer as complete. */
+    record Commit(AnswerId id, long sequence, int pageCount, long expiresAt, boolean repeatable,
+            String tenant) {
     }
 
-    static ByteBuffer whole(long segment, long position, Commit commit) {
-        byte[] tenant = name(commit.tenant());
-        ByteBuffer record = newRecord(1 + 16 + commitBytes(tenant));
-        record.put(COMMIT).putLong(commit.id().high()).putLong(commit.id().low());
-        putCommit(record, commit, tenant);
-        return setChecksum(record, segment, position);
+    static ByteBuffer commitRecord(long segment, long position, Commit commit) {
+        byte[] tenant = nameBytes(commit.tenant());
+        ByteBuffer encoded = newRecord(1 + 16 + commitBytes(tenant));
+        encoded.put(COMMIT).putLong(commit.id().high()).putLong(commit.id().low());
+        putCommit(encoded, commit, tenant);
+        return setChecksum(encoded, segment, position);
     }
 
     private static int commitBytes(byte[] tenant) {
         return 8 + 4 + 8 + 1 + 2 + tenant.length;
     }
 
-    private static byte[] name(String text) {
+    private static byte[] nameBytes(String text) {
         byte[] name = text.getBytes(StandardCharsets.UTF_8);
         if (name.length > MAX_NAME_BYTES) {
-            throw new IllegalArgumentException("a name of over " + MAX_NAME_BYTES + " bytes");
+            throw new IllegalArgumentException("name is longer than " + MAX_NAME_BYTES + " bytes");
         }
         return name;
     }
 
-    private static void putCommit(ByteBuffer record, Commit commit, byte[] tenant) {
-        record.putLong(commit.sequence()).putInt(commit.pageCount()).putLong(commit.expiresAt())
+    private static void putCommit(ByteBuffer encoded, Commit commit, byte[] tenant) {
+        encoded.putLong(commit.sequence()).putInt(commit.pageCount()).putLong(commit.expiresAt())
                 .put((byte) (commit.repeatable() ? 1 : 0)).putShort((short) tenant.length).put(tenant);
     }
 
-    static Commit whole(AnswerId id, ByteBuffer buffer) {
+    static Commit readCommit(AnswerId id, ByteBuffer buffer) {
         long sequence = buffer.getLong();
         int pageCount = buffer.getInt();
         long expiresAt = buffer.getLong();
         boolean repeatable = buffer.get() == 1;
         byte[] tenant = new byte[buffer.getShort()];
         buffer.get(tenant);
-        return new Commit(id, sequence, pageCount, expiresAt, repeatable, new String(tenant, StandardCharsets.UTF_8));
+        return new Commit(id, sequence, pageCount, expiresAt, repeatable,
+                new String(tenant, StandardCharsets.UTF_8));
     }
 
-    /** All copies that were made whole before are dead. */
+    /** Record that invalidates all earlier commits of the answer. */
     static ByteBuffer dropRecord(long segment, long position, AnswerId id, long sequence) {
-        ByteBuffer record = newRecord(1 + 16 + 8);
-        record.put(DROP).putLong(id.high()).putLong(id.low()).putLong(sequence);
-        return setChecksum(record, segment, position);
+        ByteBuffer encoded = newRecord(1 + 16 + 8);
+        encoded.put(DROP).putLong(id.high()).putLong(id.low()).putLong(sequence);
+        return setChecksum(encoded, segment, position);
     }
 
     private static ByteBuffer newRecord(int bodyBytes) {
-        ByteBuffer record = ByteBuffer.allocate(RECORD_HEADER_BYTES + bodyBytes);
-        record.putInt(bodyBytes).putInt(0);
-        return record;
+        ByteBuffer encoded = ByteBuffer.allocate(RECORD_HEADER_BYTES + bodyBytes);
+        encoded.putInt(bodyBytes).putInt(0);
+        return encoded;
     }
 
-    private static ByteBuffer setChecksum(ByteBuffer record, long segment, long position) {
-        int bodyBytes = record.position() - RECORD_HEADER_BYTES;
-        record.putInt(4, crc(segment, position, record.array(), RECORD_HEADER_BYTES, bodyBytes));
-        return record.flip();
+    private static ByteBuffer setChecksum(ByteBuffer encoded, long segment, long position) {
+        int bodyBytes = encoded.position() - RECORD_HEADER_BYTES;
+        encoded.putInt(4, crc(segment, position, encoded.array(), RECORD_HEADER_BYTES, bodyBytes));
+        return encoded.flip();
     }
 
-    /** Whether the bytes are the body of a record of that segment at that place. */
-    static boolean checksumMatches(long segment, long position, int expected, byte[] bytes, int offset, int length) {
+    /** Whether the checksum matches a record with this body in the segment at the position. */
+    static boolean checksumMatches(long segment, long position, int expected, byte[] bytes, int offset,
+            int length) {
         return crc(segment, position, bytes, offset, length) == expected;
     }
 
@@ -197,7 +204,7 @@
 
     // ---- indexes
 
-    /** Where an answer's pages are: places of their records, and the lengths of their bodies. */
+    /** Locations of the pages of an answer: file positions of their records and sizes of the bodies. */
     record IndexEntry(Commit commit, long[] positions, int[] bodyBytes) {
         long bytes() {
             long sum = 0;
@@ -208,18 +215,18 @@
         }
     }
 
-    /** What was given up, and up to which order. */
+    /** A dropped answer: all commits up to the sequence number are invalid. */
     record Drop(AnswerId id, long sequence) {
     }
 
     record Index(long segment, long segmentBytes, List<IndexEntry> entries, List<Drop> drops) {
     }
 
-    static ByteBuffer index(Index index, String front) {
+    static ByteBuffer encodeIndex(Index index, String front) {
         ByteBuffer header = header(INDEX_MAGIC, index.segment(), front);
         int bodyBytes = 8 + 4 + 4 + index.drops().size() * 24;
         for (IndexEntry entry : index.entries()) {
-            bodyBytes += 16 + commitBytes(name(entry.commit().tenant())) + entry.positions().length * 12;
+            bodyBytes += 16 + commitBytes(nameBytes(entry.commit().tenant())) + entry.positions().length * 12;
         }
         ByteBuffer encoded = ByteBuffer.allocate(header.remaining() + RECORD_HEADER_BYTES + bodyBytes);
         int position = header.remaining();
@@ -227,7 +234,7 @@
         encoded.putLong(index.segmentBytes()).putInt(index.entries().size()).putInt(index.drops().size());
         for (IndexEntry entry : index.entries()) {
             encoded.putLong(entry.commit().id().high()).putLong(entry.commit().id().low());
-            putCommit(encoded, entry.commit(), name(entry.commit().tenant()));
+            putCommit(encoded, entry.commit(), nameBytes(entry.commit().tenant()));
             for (int k = 0; k < entry.positions().length; k++) {
                 encoded.putLong(entry.positions()[k]).putInt(entry.bodyBytes()[k]);
             }
@@ -235,11 +242,12 @@
         for (Drop dropped : index.drops()) {
             encoded.putLong(dropped.id().high()).putLong(dropped.id().low()).putLong(dropped.sequence());
         }
-        encoded.putInt(position + 4, crc(index.segment(), position, encoded.array(), position + RECORD_HEADER_BYTES, bodyBytes));
+        encoded.putInt(position + 4,
+                crc(index.segment(), position, encoded.array(), position + RECORD_HEADER_BYTES, bodyBytes));
         return encoded.flip();
     }
 
-    /** Null for what is no index of that number, of that front. */
+    /** Returns null if the content isn't a valid index of this segment and front. */
     static Index readIndex(ByteBuffer buffer, long number, String front) throws IOException {
         String owner = readHeader(buffer, INDEX_MAGIC, number);
         if (owner == null || !owner.equals(front) || buffer.remaining() < RECORD_HEADER_BYTES) {
@@ -248,7 +256,9 @@
         int position = buffer.position();
         int bodyBytes = buffer.getInt();
         int crc = buffer.getInt();
-        if (bodyBytes != buffer.remaining() || !checksumMatches(number, position, crc, buffer.array(), buffer.arrayOffset() + buffer.position(),
+        if (bodyBytes != buffer.remaining()
+                || !checksumMatches(number, position, crc, buffer.array(), buffer.arrayOffset()
+                + buffer.position(),
                 bodyBytes)) {
             return null;
         }
@@ -257,7 +267,7 @@
         int dropCount = buffer.getInt();
         List<IndexEntry> entries = new ArrayList<>();
         for (int k = 0; k < entryCount; k++) {
-            Commit commit = whole(new AnswerId(buffer.getLong(), buffer.getLong()), buffer);
+            Commit commit = readCommit(new AnswerId(buffer.getLong(), buffer.getLong()), buffer);
             long[] positions = new long[commit.pageCount()];
             int[] lengths = new int[commit.pageCount()];
             for (int page = 0; page < positions.length; page++) {
--- a/src/main/java/reedspring/spool/store/Keeper.java
+++ b/src/main/java/reedspring/spool/store/Keeper.java
@@ -15,19 +15,19 @@
 import reedspring.spool.Word;
 
 /**
- * Does the spool's steps behind the loop: one thread writes, one reads, and what comes of it goes back to the
- * loop as words. Neither is ever waited for. What the queue to them may hold is bounded by the spool, which
- * asks engines for no more pages than its terms allow to wait.
+ * Performs the disk actions of the spool outside the event loop, on one thread for writes and one for reads.
+ * Results return to the event loop as events; the loop never waits for a thread. The queues are unbounded
+ * here, as the spool limits the pages that it requests from engines and the reads that it admits.
  *
- * <p>Commits are made last together: when nothing more is to be written, or the first has waited for the time
- * that was named.
+ * <p>Commits are grouped: pending ones are synced when the write queue is empty or the oldest has waited for
+ * the group commit time.
  */
 public final class Keeper {
-    /** What the loop is given back. All is called on it. */
+    /** Receives the results; called on the event loop only. */
     public interface Listener {
         void word(Word word);
 
-        /** A page that was asked for, before its {@link Word.PageRead}. */
+        /** The content of a page, just before its {@link Word.PageRead}. */
         void page(long reader, ByteBuffer text);
     }
 
@@ -52,7 +52,7 @@
     private final List<PendingCommit> pendingCommits = new ArrayList<>();
     private long pendingSince;
 
-    /** @param group tenths of a millisecond that a commit waits for others at most */
+    /** @param groupCommitTicks how long a commit waits for others at most, in tenths of a millisecond */
     public Keeper(Store store, Executor loop, Listener listener, long groupCommitTicks) {
         this.store = store;
         this.loop = loop;
@@ -62,18 +62,21 @@
         reader.setDaemon(true);
     }
 
-    /** Recovers first; {@link Word.Recovered} is the first word. */
+    /** Starts with recovery; its {@link Word.Recovered} precedes the results of all other actions. */
     public void start() {
         writer.start();
         reader.start();
     }
 
-    /** @param text with {@link Step.Write} alone; it is the keeper's until {@link Word.PageWritten} */
+    /**
+     * @param text page content, for {@link Step.Write} only; not to be changed before its {@link
+     * Word.PageWritten}
+     */
     public void accept(Step step, ByteBuffer text) {
         (step instanceof Step.ReadPage ? reads : writes).add(new Task(step, text));
     }
 
-    /** Writes what is queued and ends; false if that takes longer. */
+    /** Completes the queued writes and stops; returns false if that takes longer than the timeout. */
     public boolean close(long timeoutMs) throws InterruptedException {
         writes.add(STOP);
         reads.add(STOP);
@@ -99,7 +102,8 @@
             }
             while (true) {
                 Task task = pendingCommits.isEmpty() ? writes.take() : writes.poll();
-                if (task == null || !pendingCommits.isEmpty() && System.nanoTime() - pendingSince >= groupCommitNanos) {
+                if (task == null || !pendingCommits.isEmpty()
+                        && System.nanoTime() - pendingSince >= groupCommitNanos) {
                     syncAll();
                 }
                 if (task == STOP) {
@@ -114,13 +118,13 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            notice("spool can't be closed: " + e.getMessage());
+            notice("files could not be closed: " + e.getMessage());
         }
     }
 
     /**
-     * Finds what is there, again and again while the disk fails: what was kept before is still owed. False if
-     * nothing can be kept.
+     * Recovers the stored answers and retries while the disk fails, as earlier answers have to stay readable.
+     * Returns false if the spool can't be used or is closed.
      */
     private boolean recover() throws IOException, InterruptedException {
         while (true) {
@@ -131,9 +135,9 @@
                 report(new Word.Unusable(String.valueOf(e.getMessage())));
                 return false;
             } catch (IOException e) {
-                notice("folder can't be read yet: " + e.getMessage());
+                notice("folder could not be read, retrying: " + e.getMessage());
             }
-            // Nothing is asked of a spool that has not said what it found, but to end.
+            // Before recovery has finished, the spool emits no disk action; only the stop task can arrive.
             if (writes.poll(RECOVERY_RETRY_MS, TimeUnit.MILLISECONDS) == STOP) {
                 store.close();
                 return false;
@@ -151,7 +155,7 @@
             if (segment >= 0) {
                 failSegment(segment, e);
             } else {
-                notice("spool: " + e.getMessage());
+                notice("disk action failed: " + e.getMessage());
             }
         }
         if (task.step() instanceof Step.Write write) {
@@ -159,7 +163,7 @@
         }
     }
 
-    /** The segment that the step writes to, -1 if its failure costs none. */
+    /** Returns the segment that a failure of the action makes unusable, or -1. */
     private static long segmentOf(Step step) {
         return step instanceof Step.OpenSegment open ? open.segment()
                 : step instanceof Step.Write write ? write.segment()
@@ -211,7 +215,8 @@
 
     private void syncAll() {
         for (long segment : pendingCommits.stream().map(PendingCommit::segment).distinct().toList()) {
-            List<PendingCommit> synced = pendingCommits.stream().filter(commit -> commit.segment() == segment).toList();
+            List<PendingCommit> synced = pendingCommits.stream().filter(commit -> commit.segment() == segment)
+                    .toList();
             try {
                 store.sync(segment);
                 synced.forEach(commit -> report(commit.completion()));
@@ -245,7 +250,7 @@
                     report(new Word.PageCorrupt(request.readId(), request.answer(), request.page(),
                             String.valueOf(e.getMessage())));
                 } catch (IOException e) {
-                    // An error of the disk, or no descriptor: what lies there may be read yet.
+                    // A disk error or no free file descriptor: a later read may succeed.
                     report(new Word.PageReadFailed(request.readId(), request.answer(), request.page(),
                             String.valueOf(e.getMessage())));
                 }
--- a/src/main/java/reedspring/spool/store/Store.java
+++ b/src/main/java/reedspring/spool/store/Store.java
@@ -18,15 +18,16 @@
 import reedspring.spool.Word;
 
 /**
- * The answers' files: appends, makes last, reads and finds again. It decides nothing. All but {@link #read}
- * is for one thread; {@code read} may be called by another at any time.
+ * Append-only storage of answers in segment files: writes, syncs, reads and recovers them. All policy is in
+ * {@link reedspring.spool.Spool}. All methods but {@link #read} must be called by one thread; another thread
+ * may call {@code read} at any time.
  *
- * <p>A segment that has failed takes nothing more, and nothing that came to it since its last sync is
- * believed: a sync that failed is never tried again, as the kernel may have forgotten what it could not
- * write.
+ * <p>A segment that has failed accepts no more writes, and what was written to it since its last sync counts
+ * as lost. A failed sync is never retried, as the kernel may have discarded the pages that it could not write
+ * and may report success.
  */
 public final class Store implements Closeable {
-    /** A file cut at any place, or bits that are not what was written. */
+    /** The file is truncated, or its content differs from what was written. */
     public static final class CorruptDataException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -39,7 +40,7 @@
     private final String front;
     private final int maxBodyBytes;
     private final Map<Long, OpenSegment> open = new LinkedHashMap<>();
-    /** Where the pages of whole answers are. Read by the reading thread, too. */
+    /** Locations of the pages of committed answers. Also read by the reading thread. */
     private final Map<AnswerId, Location> locations = new ConcurrentHashMap<>();
     private final Map<Long, Disk.In> readFiles = new ConcurrentHashMap<>();
     private long lastSequence;
@@ -53,7 +54,7 @@
         private long endPosition;
         private long syncedPosition;
         private boolean failed;
-        /** Pages by answer: places and lengths, until it is whole. */
+        /** File position and body size of each page, by answer and page, until the answer's commit. */
         private final Map<AnswerId, Map<Integer, long[]>> uncommittedPages = new HashMap<>();
         private final Map<AnswerId, Format.IndexEntry> committed = new LinkedHashMap<>();
         private final List<Format.IndexEntry> unsynced = new ArrayList<>();
@@ -64,7 +65,7 @@
         }
     }
 
-    /** @param pageBytes what a page holds at most; a record that claims more is none */
+    /** @param pageBytes maximum size of a page; recovery rejects larger records as invalid */
     public Store(Disk disk, String front, int pageBytes) {
         this.disk = disk;
         this.front = front;
@@ -73,34 +74,40 @@
 
     // ---- writing
 
+    /** Creates a segment. */
     public void open(long segment) throws IOException {
         Disk.Out file = disk.create(Format.segmentFileName(segment));
         OpenSegment opened = new OpenSegment(file);
         open.put(segment, opened);
         append(segment, opened, Format.header(segment, front));
-        // Else a crash could leave answers that were made last in a file without a name.
+        // Otherwise a crash could remove the directory entry of a file whose content was synced.
         disk.syncNames();
     }
 
+    /** Appends a page; it counts once the answer is committed. */
     public void write(AnswerId answer, long segment, int page, ByteBuffer text) throws IOException {
         OpenSegment target = writableSegment(segment);
         long position = target.endPosition;
         int bodyBytes = Format.PAGE_HEADER_BYTES + text.remaining();
         append(segment, target, Format.pageRecord(segment, position, answer, page, text));
-        target.uncommittedPages.computeIfAbsent(answer, key -> new HashMap<>()).put(page, new long[] {position, bodyBytes});
+        target.uncommittedPages.computeIfAbsent(answer, key -> new HashMap<>()).put(page,
+                new long[] {position, bodyBytes});
     }
 
-    /** Appends what makes the answer whole; it lasts from the next {@link #sync} of the segment on. */
+    /**
+     * Appends the commit record of the answer, which is durable after the next {@link #sync} of the segment.
+     */
     public void whole(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
                       long expiresAt) throws IOException {
         OpenSegment target = writableSegment(segment);
         Map<Integer, long[]> pagePositions = target.uncommittedPages.remove(answer);
-        Format.Commit commit = new Format.Commit(answer, ++lastSequence, pages, expiresAt, repeatable, tenant);
+        Format.Commit commit = new Format.Commit(answer, ++lastSequence, pages, expiresAt, repeatable,
+                tenant);
         Format.IndexEntry entry = indexEntry(commit, pagePositions);
         if (entry == null) {
-            throw new IllegalStateException("pages are missing");
+            throw new IllegalStateException("pages of the answer are missing");
         }
-        append(segment, target, Format.whole(segment, target.endPosition, commit));
+        append(segment, target, Format.commitRecord(segment, target.endPosition, commit));
         target.unsynced.add(entry);
     }
 
@@ -121,7 +128,7 @@
         return new Format.IndexEntry(commit, positions, bodyBytes);
     }
 
-    /** Makes last all that was appended to the segment; from now on its whole answers can be read. */
+    /** Makes everything appended to the segment durable; its committed answers become readable. */
     public void sync(long segment) throws IOException {
         OpenSegment target = writableSegment(segment);
         long endPosition = target.endPosition;
@@ -139,7 +146,9 @@
         target.unsynced.clear();
     }
 
-    /** Forgets the answer, and so far as a segment is open, for a restart as well. */
+    /**
+     * Removes the answer. If a segment is open, a drop record keeps it from being restored after a restart.
+     */
     public void drop(AnswerId answer) throws IOException {
         boolean known = locations.remove(answer) != null;
         for (OpenSegment target : open.values()) {
@@ -154,50 +163,53 @@
             OpenSegment target = entry.getValue();
             if (!target.failed) {
                 long sequence = ++lastSequence;
-                append(entry.getKey(), target, Format.dropRecord(entry.getKey(), target.endPosition, answer, sequence));
+                append(entry.getKey(), target,
+                        Format.dropRecord(entry.getKey(), target.endPosition, answer, sequence));
                 target.drops.add(new Format.Drop(answer, sequence));
                 return;
             }
         }
     }
 
-    /** Takes no more; what it holds for sure is in its index from now on. */
+    /** Closes the segment for writes and writes an index of its synced content. */
     public void seal(long segment) throws IOException {
-        OpenSegment sealed = open.remove(segment);
-        if (sealed == null) {
+        OpenSegment target = open.remove(segment);
+        if (target == null) {
             return;
         }
         try {
-            sealed.file.close();
+            target.file.close();
         } catch (IOException e) {
-            // What was synced is there.
+            // The synced content is not affected.
         }
-        writeIndex(new Format.Index(segment, sealed.syncedPosition, List.copyOf(sealed.committed.values()), sealed.drops));
+        writeIndex(new Format.Index(segment, target.syncedPosition, List.copyOf(target.committed.values()),
+                target.drops));
     }
 
     /**
-     * Without its index the segment is read whole again at the next start; what is in it is there all the
-     * same.
+     * Writes the index of a recovered segment. A failure only means that the next start scans the segment
+     * again.
      */
     private void indexRecovered(Format.Index index, Consumer<String> remarks) {
         try {
             writeIndex(index);
         } catch (IOException e) {
-            remarks.accept("segment " + index.segment() + ": no index written: " + e.getMessage());
+            remarks.accept("segment " + index.segment() + ": index not written: " + e.getMessage());
         }
     }
 
     private void writeIndex(Format.Index index) throws IOException {
-        String temporary = Format.undone(index.segment());
+        String temporary = Format.temporaryFileName(index.segment());
         disk.delete(temporary);
         try (Disk.Out file = disk.create(temporary)) {
-            file.write(Format.index(index, front));
+            file.write(Format.encodeIndex(index, front));
             file.sync();
         }
-        disk.rename(temporary, Format.index(index.segment()));
+        disk.rename(temporary, Format.indexFileName(index.segment()));
         disk.syncNames();
     }
 
+    /** Deletes the segment and its index. */
     public void delete(long segment) throws IOException {
         OpenSegment opened = open.remove(segment);
         if (opened != null) {
@@ -207,17 +219,18 @@
         if (file != null) {
             file.close();
         }
-        // The index first: an index without its segment is nothing, a segment without its index is read
-        // whole.
-        disk.delete(Format.index(segment));
+        // Index first: an index without its segment is ignored, a segment without its index is scanned.
+        disk.delete(Format.indexFileName(segment));
         disk.delete(Format.segmentFileName(segment));
     }
 
-    /** A copy of a whole answer in another segment, to last from its next sync on. */
+    /**
+     * Copies a committed answer to another segment; the copy is durable after the next sync of that segment.
+     */
     public void move(AnswerId answer, long segment) throws IOException {
         Location source = locations.get(answer);
         if (source == null) {
-            throw new CorruptDataException("the answer is not there");
+            throw new CorruptDataException("answer is not stored");
         }
         Format.Commit commit = source.entry().commit();
         for (int page = 0; page < commit.pageCount(); page++) {
@@ -229,7 +242,7 @@
     private OpenSegment writableSegment(long segment) throws IOException {
         OpenSegment target = open.get(segment);
         if (target == null || target.failed) {
-            throw new IOException("segment " + segment + " takes nothing more");
+            throw new IOException("segment " + segment + " is closed for writes");
         }
         return target;
     }
@@ -247,27 +260,29 @@
 
     // ---- reading
 
-    /** The text of one page of a whole answer. */
+    /** Reads the content of one page of a committed answer. */
     public ByteBuffer read(AnswerId answer, int page) throws IOException {
         Location location = locations.get(answer);
         if (location == null || page < 0 || page >= location.entry().positions().length) {
-            throw new CorruptDataException("the page is not there");
+            throw new CorruptDataException("page is not stored");
         }
         long position = location.entry().positions()[page];
         int bodyBytes = location.entry().bodyBytes()[page];
         ByteBuffer record = ByteBuffer.allocate(Format.RECORD_HEADER_BYTES + bodyBytes);
         readFile(location.segment()).read(record, position);
         if (record.hasRemaining()) {
-            throw new CorruptDataException("segment " + location.segment() + " ends in a page");
+            throw new CorruptDataException("segment " + location.segment() + " is truncated within a page");
         }
         record.flip();
         int storedBodyBytes = record.getInt();
         int crc = record.getInt();
-        if (storedBodyBytes != bodyBytes || !Format.checksumMatches(location.segment(), position, crc, record.array(), record.position(), storedBodyBytes)
+        if (storedBodyBytes != bodyBytes
+                || !Format.checksumMatches(location.segment(), position, crc, record.array(),
+                record.position(), storedBodyBytes)
                 || record.get() != Format.PAGE || record.getLong() != answer.high()
                 || record.getLong() != answer.low() || record.getInt() != page) {
-            throw new CorruptDataException("segment " + location.segment() + " has other bytes at " + position
-                    + " than were written");
+            throw new CorruptDataException("segment " + location.segment() + " is corrupt at position "
+                    + position + ": record does not match");
         }
         return record.slice();
     }
@@ -286,17 +301,17 @@
         return opened;
     }
 
-    // ---- the start
+    // ---- recovery
 
     /**
-     * Finds what is there, from the indexes and, for segments that were not sealed, from their records; these
-     * are sealed now. What is found of a file that is no segment of this front stays where it is.
+     * Restores the stored answers from the indexes and, for segments that were not sealed, from a scan of
+     * their records; these are sealed now. Files that aren't segments of this front are left unchanged.
      *
-     * @param remarks is given a line for each file that can't be used
+     * @param remarks receives a message for each file that can't be used
      */
     public Word.Recovered recover(Consumer<String> remarks) throws IOException {
         for (String name : disk.list()) {
-            if (Format.undone(name) || Format.indexNumber(name) >= 0
+            if (Format.isTemporary(name) || Format.indexNumber(name) >= 0
                     && !disk.list().contains(Format.segmentFileName(Format.indexNumber(name)))) {
                 discard(name, remarks);
             }
@@ -308,16 +323,16 @@
         try {
             disk.delete(name);
         } catch (IOException e) {
-            remarks.accept(name + " can't be deleted: " + e.getMessage());
+            remarks.accept(name + " could not be deleted: " + e.getMessage());
         }
     }
 
-    /** The same, and changes nothing. */
+    /** Like {@link #recover}, but changes no files. */
     Word.Recovered inspect(Consumer<String> remarks) throws IOException {
         return load(remarks, false);
     }
 
-    /** The names of the fronts whose segments are there. */
+    /** Names of the fronts that own segments on the disk. */
     static Set<String> frontNames(Disk disk, Consumer<String> remarks) throws IOException {
         Set<String> fronts = new TreeSet<>();
         for (String name : disk.list()) {
@@ -330,7 +345,7 @@
                 file.read(header, 0);
                 String front = Format.readHeader(header.flip(), number);
                 if (front == null) {
-                    remarks.accept("segment " + number + " has no head, nothing was kept there");
+                    remarks.accept("segment " + number + " has no valid header, it holds no answers");
                 } else {
                     fronts.add(front);
                 }
@@ -341,7 +356,7 @@
         return fronts;
     }
 
-    /** Whether that copy of the answer is the one that is read. */
+    /** Whether reads of the answer use the copy in this segment. */
     boolean isCurrent(AnswerId answer, long segment) {
         Location location = locations.get(answer);
         return location != null && location.segment() == segment;
@@ -359,7 +374,7 @@
                 continue;
             }
             lastSegment = Math.max(lastSegment, number);
-            Format.Index index = names.contains(Format.index(number)) ? readIndex(number) : null;
+            Format.Index index = names.contains(Format.indexFileName(number)) ? readIndex(number) : null;
             if (index == null) {
                 Scan scan = new Scan(number);
                 if (!scan.run()) {
@@ -378,7 +393,7 @@
                 }
             }
             segments.add(new Word.RecoveredSegment(number,
-                    index.segmentBytes() + Format.index(index, front).remaining()));
+                    index.segmentBytes() + Format.encodeIndex(index, front).remaining()));
             for (Format.IndexEntry entry : index.entries()) {
                 committed.add(new Location(number, entry));
                 lastSequence = Math.max(lastSequence, entry.commit().sequence());
@@ -396,8 +411,8 @@
                 if (other == null || other.entry().commit().sequence() < commit.sequence()) {
                     locations.put(commit.id(), location);
                 }
-                answers.add(new Word.RecoveredAnswer(commit.id(), commit.tenant(), commit.repeatable(), commit.pageCount(),
-                        location.entry().bytes() + Terms.ANSWER_OVERHEAD_BYTES, commit.expiresAt(),
+                answers.add(new Word.RecoveredAnswer(commit.id(), commit.tenant(), commit.repeatable(),
+                        commit.pageCount(), location.entry().bytes() + Terms.ANSWER_OVERHEAD_BYTES, commit.expiresAt(),
                         location.segment(), commit.sequence(), true));
             }
         }
@@ -405,14 +420,14 @@
     }
 
     private Format.Index readIndex(long number) throws IOException {
-        try (Disk.In file = disk.open(Format.index(number))) {
+        try (Disk.In file = disk.open(Format.indexFileName(number))) {
             ByteBuffer content = ByteBuffer.allocate((int) Math.min(Integer.MAX_VALUE - 8, file.size()));
             file.read(content, 0);
             return Format.readIndex(content.flip(), number, front);
         }
     }
 
-    /** Reads a segment that has no index, record by record, past what is spoilt as far as it can. */
+    /** Scans a segment without an index record by record and skips corrupt ranges where possible. */
     private final class Scan {
         private static final int CHUNK_BYTES = 1 << 20;
         private final long segment;
@@ -431,7 +446,7 @@
             this.segment = segment;
         }
 
-        /** False if there is nothing that can be used. */
+        /** Returns false, with {@link #failure} set, if the segment can't be used. */
         boolean run() throws IOException {
             try (Disk.In file = disk.open(Format.segmentFileName(segment))) {
                 fileBytes = file.size();
@@ -446,7 +461,8 @@
                 }
                 ownedByFront = owner == null || owner.equals(front);
                 if (owner == null || !ownedByFront) {
-                    failure = "segment " + segment + (ownedByFront ? " has no head, nothing was kept there"
+                    failure = "segment " + segment
+                            + (ownedByFront ? " has no valid header, it holds no answers"
                             : " left as it is, it is of front " + owner);
                     return false;
                 }
@@ -460,7 +476,7 @@
             for (long position = start; position + Format.RECORD_HEADER_BYTES < fileBytes; ) {
                 int length = readRecord(file, position);
                 if (length < 0) {
-                    // The head itself may be spoilt: the next record is looked for at each place.
+                    // The length field may be corrupt: try to find the next record at every position.
                     badStart = badStart < 0 ? position : badStart;
                     position++;
                 } else {
@@ -471,9 +487,13 @@
             }
         }
 
-        /** The length of the body of the record at that place, -1 if there is none. */
+        /**
+         * Reads the record at the position; returns the size of its body, or -1 if there is no valid record.
+         */
         private int readRecord(Disk.In file, long position) throws IOException {
-            if (position < bufferStart || position + Format.RECORD_HEADER_BYTES + maxBodyBytes > bufferStart + bufferedBytes && bufferStart + bufferedBytes < fileBytes) {
+            if (position < bufferStart
+                    || position + Format.RECORD_HEADER_BYTES + maxBodyBytes > bufferStart + bufferedBytes
+                    && bufferStart + bufferedBytes < fileBytes) {
                 fill(file, position);
             }
             int offset = (int) (position - bufferStart);
@@ -481,16 +501,19 @@
             int bodyBytes = record.getInt();
             int crc = record.getInt();
             if (bodyBytes < 17 || bodyBytes > maxBodyBytes || bodyBytes > record.remaining()
-                    || !Format.checksumMatches(segment, position, crc, buffer, record.position(), bodyBytes)) {
+                    || !Format.checksumMatches(segment, position, crc, buffer, record.position(),
+                    bodyBytes)) {
                 return -1;
             }
             record.limit(record.position() + bodyBytes);
             byte kind = record.get();
             AnswerId id = new AnswerId(record.getLong(), record.getLong());
             if (kind == Format.PAGE) {
-                uncommittedPages.computeIfAbsent(id, key -> new HashMap<>()).put(record.getInt(), new long[] {position, bodyBytes});
+                uncommittedPages.computeIfAbsent(id, key -> new HashMap<>()).put(record.getInt(),
+                        new long[] {position, bodyBytes});
             } else if (kind == Format.COMMIT) {
-                Format.IndexEntry entry = indexEntry(Format.whole(id, record), uncommittedPages.remove(id));
+                Format.IndexEntry entry = indexEntry(Format.readCommit(id, record),
+                        uncommittedPages.remove(id));
                 if (entry != null) {
                     committed.add(entry);
                 } else {
@@ -503,7 +526,8 @@
         }
 
         private void fill(Disk.In file, long position) throws IOException {
-            int length = (int) Math.min(fileBytes - position, CHUNK_BYTES + maxBodyBytes + Format.RECORD_HEADER_BYTES);
+            int length = (int) Math.min(fileBytes - position,
+                    CHUNK_BYTES + maxBodyBytes + Format.RECORD_HEADER_BYTES);
             if (buffer.length < length) {
                 buffer = new byte[length];
             }
--- a/src/main/java/reedspring/spool/store/Survey.java
+++ b/src/main/java/reedspring/spool/store/Survey.java
@@ -11,17 +11,21 @@
 import reedspring.spool.Word;
 
 /**
- * What lies in a spool's folder, of whichever front, for those who look at it from outside. Taking one
- * changes nothing; what a running front deletes meanwhile is left out.
+ * Content of a spool directory, of all fronts that use it, for inspection by other processes. Reading it
+ * changes no files; segments that a running front deletes meanwhile are left out.
+ *
+ * @param segments sizes of the segments by number
+ * @param remarks messages about files that could not be used completely
+ * @param faults pages that could not be read
  */
 public record Survey(Map<Long, Long> segments, List<Answer> answers, List<String> remarks,
         List<String> faults,
                      long pagesRead) {
-    /** Times are Unix tenths of a millisecond. */
+    /** A stored answer; {@code expiresAt} is Unix time in ticks (tenths of a millisecond). */
     public record Answer(AnswerId id, String tenant, int pages, long bytes, long expiresAt, long segment) {
     }
 
-    /** @param pages whether every page is read */
+    /** @param pages whether to read and check every page */
     public static Survey of(Disk disk, boolean pages) throws IOException {
         List<String> remarks = new ArrayList<>();
         List<String> faults = new ArrayList<>();
@@ -35,7 +39,7 @@
             contents.segments().forEach(segment -> segments.put(segment.number(), segment.bytes()));
             for (Word.RecoveredAnswer answer : contents.answers()) {
                 if (!store.isCurrent(answer.answer(), answer.segment())) {
-                    // An older copy: what it was moved from.
+                    // An older copy, from before the answer was moved.
                     continue;
                 }
                 answers.add(new Answer(answer.answer(), answer.tenant(), answer.pages(), answer.bytes(),
@@ -57,12 +61,12 @@
         return new Survey(segments, answers, remarks, faults, pagesRead);
     }
 
-    /** Deletes the segments in which nothing lives past that time; their numbers. */
+    /** Deletes the segments in which every answer has expired by this time and returns their numbers. */
     public List<Long> expire(Disk disk, long time) throws IOException {
         List<Long> deleted = new ArrayList<>();
         for (long segment : segments.keySet()) {
             if (answers.stream().noneMatch(a -> a.segment() == segment && a.expiresAt() > time)) {
-                disk.delete(Format.index(segment));
+                disk.delete(Format.indexFileName(segment));
                 disk.delete(Format.segmentFileName(segment));
                 deleted.add(segment);
             }
--- a/src/test/java/reedspring/net/SpoolIT.java
+++ b/src/test/java/reedspring/net/SpoolIT.java
@@ -23,16 +23,16 @@
 import reedspring.rig.JournalStandIn;
 import reedspring.rig.Program;
 
-/** The built program with a spool: pages that are kept, read later, and after it was killed. */
+/** Runs the built program with a spool: answers are kept, read page by page, and survive a kill. */
 class SpoolIT extends Started {
     private static final int PAGES = 40;
-    private static final int PATIENCE = 9_000;
+    private static final int QUERY_TIMEOUT_MS = 9_000;
 
     private final Path folder;
     private final Path key;
     private final String listen;
     private EngineStandIn engine;
-    /** Of a front whose disk can be made to fail; null for any other. */
+    /** Injects disk faults into the front; null for a front without fault injection. */
     private FaultShim shim;
 
     SpoolIT() throws IOException {
@@ -41,30 +41,31 @@
         listen = Program.freeAddress();
     }
 
-    private void start(String more, String effect) throws Exception {
+    private void start(String extraSettings, String effect) throws Exception {
         if (engine == null) {
             engine = open(new EngineStandIn(EngineStandIn.pages(PAGES)));
             journal = open(new JournalStandIn());
         }
         Path settings = Files.writeString(folder.resolveSibling("own.ini"), "[spool]\nfolder = " + folder
-                + "\nkey_file = " + key + (more.contains("total") ? "\n" : "\ntotal = 64MB\n") + more);
+                + "\nkey_file = " + key + (extraSettings.contains("total") ? "\n" : "\ntotal = 64MB\n")
+                + extraSettings);
         String config = Program.config(listen, journal.address(), event(1, true,
                 host("e0", engine.address(), "ready"))).replace("repeatable", effect);
         front = open(shim == null ? Program.with(config, settings) : Program.with(config, settings,
                 shim)).ready();
-        await("what lies on the disk", () -> front.logged("answers found") || front.logged("can't be used"));
+        await("the end of recovery", () -> front.logged("answers found") || front.logged("can't be used"));
     }
 
-    private static byte[] paged(int id, String trace) {
-        Map<String, Object> fields = Client.fields(trace, PATIENCE);
+    private static byte[] pagedQuery(int id, String trace) {
+        Map<String, Object> fields = Client.fields(trace, QUERY_TIMEOUT_MS);
         fields.put("pages", "1");
         return Client.pack(List.of(0, id, "lookup", List.of(fields, "select".getBytes())));
     }
 
-    private static byte[] call(String method, int id, Object handle, String sheet, String tenant) {
+    private static byte[] call(String method, int id, Object handle, String page, String tenant) {
         Map<String, Object> fields = new HashMap<>(Map.of("handle", handle, "customer", tenant));
-        if (sheet != null) {
-            fields.put("sheet", sheet);
+        if (page != null) {
+            fields.put("sheet", page);
         }
         return Client.pack(List.of(0, id, method, List.of(fields)));
     }
@@ -78,15 +79,15 @@
         return fields;
     }
 
-    /** The handle of an answer whose query had this trace. */
+    /** Sends a query with this trace, checks the first page and returns the handle of its answer. */
     private String keep(Client client, int id, String trace) throws IOException {
-        List<?> answer = client.send(paged(id, trace)).read();
+        List<?> answer = client.send(pagedQuery(id, trace)).read();
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(answer), answer::toString);
         assertEquals(Integer.toString(PAGES), fields(answer).get("sheets"));
         return (String) fields(answer).get("handle");
     }
 
-    private void reads(Client client, String handle, String trace, int... pages) throws IOException {
+    private void assertPages(Client client, String handle, String trace, int... pages) throws IOException {
         for (int page : pages) {
             List<?> answer = client.send(call("page", 1000 + page, handle, Integer.toString(page),
                     "acme")).read();
@@ -95,41 +96,41 @@
         }
     }
 
-    private void killed() throws Exception {
+    private void killFront() throws Exception {
         front.signal("-KILL");
         assertTrue(front.process.waitFor(10, TimeUnit.SECONDS));
     }
 
-    /** First, middle and last page of each, by a client of its own. */
-    private void readsAll(Map<String, String> kept) throws IOException {
+    /** Reads the first, a middle and the last page of each answer over a new connection. */
+    private void assertAllReadable(Map<String, String> kept) throws IOException {
         Client client = client();
-        for (Map.Entry<String, String> each : kept.entrySet()) {
-            reads(client, each.getValue(), each.getKey(), 0, 20, 39);
+        for (Map.Entry<String, String> entry : kept.entrySet()) {
+            assertPages(client, entry.getValue(), entry.getKey(), 0, 20, 39);
         }
     }
 
     @Example
-    void aLargeAnswerIsReadPageByPageAndItsEngineIsFree() throws Exception {
+    void largeAnswersAreReadByPageAfterTheEngineFinished() throws Exception {
         start("", "repeatable");
         Client client = client();
         String trace = Client.trace();
         String handle = keep(client, 1, trace);
-        await("the engine's end", () -> engine.seen("done").size() == 1);
-        reads(client, handle, trace, 39, 0, 1, 1, 17);
-        // Who asks for no pages is answered as ever, be it too large or not.
+        await("the engine to finish", () -> engine.seen("done").size() == 1);
+        assertPages(client, handle, trace, 39, 0, 1, 1, 17);
+        // A query that doesn't request pages isn't kept; its large answer is an error.
         assertNotNull(Client.error(client.send(Client.query(2, Client.trace(), 1_000, "select")).read()));
-        for (String[] odd : new String[][] {{handle, "40", "acme"}, {handle, "-1", "acme"},
+        for (String[] invalid : new String[][] {{handle, "40", "acme"}, {handle, "-1", "acme"},
             {handle, "1000000000", "acme"}, {handle, "x", "acme"}, {handle, "1", "bolt"},
             {handle.substring(2), "1", "acme"}, {"", "1", "acme"}}) {
-            List<?> answer = client.send(call("page", 3, odd[0], odd[1], odd[2])).read();
-            assertEquals("Fault", Client.error(answer), String.join(" ", odd));
+            List<?> answer = client.send(call("page", 3, invalid[0], invalid[1], invalid[2])).read();
+            assertEquals("Fault", Client.error(answer), String.join(" ", invalid));
         }
         assertNull(client.send(call("release", 4, handle, null, "acme")).read().get(2));
         assertEquals("Shed", Client.error(client.send(call("page", 5, handle, "1", "acme")).read()));
     }
 
     @Example
-    void afterAKillWhatHadAHandleIsServedToTheByteAndTheRestHasAFinalWord() throws Exception {
+    void answersWithAHandleSurviveAKill() throws Exception {
         start("keep = 1h\n", "repeatable");
         Client client = client();
         Map<String, String> kept = new HashMap<>();
@@ -138,24 +139,25 @@
             kept.put(trace, keep(client, id, trace));
         }
         for (int round = 0; round < 3; round++) {
-            killed();
+            killFront();
             start("keep = 1h\n", "repeatable");
-            readsAll(kept);
+            assertAllReadable(kept);
         }
-        // Another front, which can't know it.
-        killed();
+        // A front of another name must not serve the answers.
+        killFront();
         String config = Program.config(listen, journal.address(), event(1, true,
                 host("e0", engine.address(), "ready"))).replace("\"n0\"", "\"n1\"");
         front = open(Program.with(config, folder.resolveSibling("own.ini"))).ready();
         String handle = kept.values().iterator().next();
-        await("what lies on the disk", () -> front.logged("left as it is, it is of front n0"));
+        await("the segment to be rejected", () -> front.logged("left as it is, it is of front n0"));
         assertEquals("Fault", Client.error(client().send(call("page", 1, handle, "0", "acme")).read()));
     }
 
-    /** Writes and syncs fail,
-            some half done; the process is killed meanwhile and started on the same disk. */
+    /**
+     * Writes and syncs fail, some after a part; the process is killed then and restarted on the same disk.
+     */
     @Example
-    void aDiskThatFailsForAWhileAndAKillCostNoAnswerThatWasKept() throws Exception {
+    void keptAnswersSurviveDiskFaultsAndAKill() throws Exception {
         shim = open(new FaultShim());
         Map<String, String> kept = new HashMap<>();
         for (int error : new int[] {FaultShim.ENOSPC, FaultShim.EIO}) {
@@ -167,31 +169,31 @@
             }
             shim.set(Fault.DISK_SHORT, 1);
             shim.set(Fault.DISK_ERRNO, error);
-            assertEquals("Shed", Client.error(client.send(paged(9, Client.trace())).read()));
-            killed();
+            assertEquals("Shed", Client.error(client.send(pagedQuery(9, Client.trace())).read()));
+            killFront();
             start("keep = 1h\n", "repeatable");
-            readsAll(kept);
+            assertAllReadable(kept);
             shim.calm();
             String trace = Client.trace();
             kept.put(trace, keep(client(), 10, trace));
-            killed();
+            killFront();
         }
-        assertTrue(shim.get(Fault.FAILED_CALLS) > 0, "no call failed");
+        assertTrue(shim.get(Fault.FAILED_CALLS) > 0, "no fault was injected");
     }
 
-    /** No more room: a query that may run again is deferred, one that has run and must not is not. */
+    /** On a full spool a repeatable query is deferred; one that must not run twice fails. */
     @Example
-    void aFullSpoolDefersOnlyWhatMayRunAgain() throws Exception {
+    void fullSpoolDefersOnlyRepeatableQueries() throws Exception {
         for (String effect : List.of("repeatable", "once")) {
             start("total = 4MB\nsegment = 512kB\nlongest_answer = 512kB\nheadroom = 0%\ntenant_part = 100%\n",
                     effect);
             Client client = client();
             String error = null;
             for (int id = 1; id <= 60 && error == null; id++) {
-                error = (String) Client.error(client.send(paged(id, Client.trace())).read());
+                error = (String) Client.error(client.send(pagedQuery(id, Client.trace())).read());
             }
             assertEquals(effect.equals("once") ? "Fault" : "Shed", error);
-            await("its line", () -> front.logged("answer not kept: no room"));
+            await("the log line", () -> front.logged("answer not kept: spool is full"));
             front.process.toHandle().destroy();
             assertTrue(front.process.waitFor(10, TimeUnit.SECONDS));
             assertEquals(0, front.process.exitValue(), front.log::toString);
@@ -199,20 +201,20 @@
     }
 
     @Example
-    void aFolderThatCanNotBeHadIsToldAtTheStart() throws Exception {
+    void unusableFolderIsReportedAtStartup() throws Exception {
         start("", "repeatable");
         Path settings = folder.resolveSibling("own.ini");
         Program second = open(Program.with(Program.config(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready"))), settings));
         assertTrue(second.process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(78, second.process.exitValue());
-        await("its message", () -> second.logged("held by another front"));
+        await("the log message", () -> second.logged("held by another front"));
         Files.writeString(settings, "[spool]\nfolder = /no/such\nkey_file = " + key + "\ntotal = 1XB\n");
         Program third = open(Program.with(Program.config(Program.freeAddress(), journal.address()),
                 settings));
         assertTrue(third.process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(78, third.process.exitValue());
-        await("its messages", () -> third.logged("line 2: [spool] folder")
+        await("the log messages", () -> third.logged("line 2: [spool] folder")
                 && third.logged("line 4: [spool] total"));
     }
 }
--- a/src/test/java/reedspring/spool/SpoolHarness.java
+++ b/src/test/java/reedspring/spool/SpoolHarness.java
@@ -17,17 +17,17 @@
 import reedspring.spool.store.Store;
 
 /**
- * Stands round one spool and its store as engines, clients and the threads behind the loop do, in one thread
- * and in virtual time, and checks after every step: each query has one end, what was kept with a handle can
- * be read to the byte until its time has passed or it was read to the end or released, room and memory are
- * not passed.
+ * Simulates the engines, clients and disk threads around a spool and its store in one thread and in virtual
+ * time. Checks that each query ends once, that an answer with a handle can be read byte for byte until it
+ * expires, is released or was read to its end, and that the limits of disk space and memory hold after every
+ * event.
  */
 final class SpoolHarness {
     static final long SECOND = 10_000;
     static final Terms TERMS = new Terms(400_000, 0.5, 0.1, 60 * SECOND, 60_000, 1_000, 50_000, 12_000, 4, 2,
             SECOND, 60 * SECOND);
 
-    /** A query whose answer an engine has begun. */
+    /** A query whose engine has announced an answer. */
     final class Query {
         final Id.Query id = new Id.Query(++lastQuery);
         final String tenant;
@@ -51,12 +51,12 @@
         }
 
         void outcome(String how) {
-            require(outcome == null, "ended twice: " + outcome + ", " + how);
+            require(outcome == null, "query ended twice: " + outcome + ", " + how);
             outcome = how;
         }
     }
 
-    /** What a client holds a handle of. */
+    /** An answer of which a client holds a handle. */
     record HeldAnswer(Query query, Handle handle) {
     }
 
@@ -64,7 +64,7 @@
     final MemoryDisk disk;
     final Map<Id.Query, Query> openQueries = new LinkedHashMap<>();
     final Map<AnswerId, HeldAnswer> heldAnswers = new LinkedHashMap<>();
-    /** Read to the end or released, so that it may be given up. */
+    /** Answers that were read to their end or released and may therefore be dropped. */
     final Set<AnswerId> evictable = new HashSet<>();
     final Set<AnswerId> corrupt = new HashSet<>();
     final ArrayDeque<Step> diskActions = new ArrayDeque<>();
@@ -91,7 +91,7 @@
         start();
     }
 
-    /** The front starts, on whatever the disk has. */
+    /** Starts a new front process on the present content of the disk. */
     void start() {
         openQueries.clear();
         requestedPages.clear();
@@ -112,13 +112,12 @@
 
     void send(Word event) {
         spool.on(now, event, this::handle);
-        require(spool.bufferedBytes() <= 2 * TERMS.inMemory(), "memory " + spool.bufferedBytes());
-        require(spool.usedBytes() <= TERMS.total(), "room " + spool.usedBytes());
+        require(spool.bufferedBytes() <= 2 * TERMS.inMemory(), "buffered bytes over the limit: "
+                + spool.bufferedBytes());
+        require(spool.usedBytes() <= TERMS.total(), "disk usage over the limit: " + spool.usedBytes());
     }
 
-    /**
-     * What concerns clients and engines happens at once, what concerns the disk when the threads come to it.
-     */
+    /** Performs actions for clients and engines at once and queues disk actions for the simulated threads. */
     private void handle(Step action) {
         if (action instanceof Step.Take taken) {
             Query query = openQueries.get(taken.query());
@@ -134,7 +133,8 @@
             Query query = openQueries.remove(done.query());
             query.outcome("kept");
             requestedPages.remove(done.answer());
-            heldAnswers.put(done.answer(), new HeldAnswer(query, new Handle(done.answer(), query.tenant, query.repeatable,
+            heldAnswers.put(done.answer(),
+                    new HeldAnswer(query, new Handle(done.answer(), query.tenant, query.repeatable,
                     done.expiresAt())));
         } else if (action instanceof Step.Lost gone) {
             lostCount++;
@@ -156,7 +156,7 @@
         send(new Word.Began(query.id, tenant, repeatable, pages));
     }
 
-    /** A page that was asked for arrives, of any answer. */
+    /** Delivers a requested page of a random answer. */
     void deliverPage() {
         List<AnswerId> waiting = requestedPages.entrySet().stream().filter(e -> !e.getValue().isEmpty())
                 .map(Map.Entry::getKey).toList();
@@ -185,7 +185,7 @@
         }
     }
 
-    /** Left while pages of theirs may wait for the disk. */
+    /** Queries that ended while pages of theirs may still wait to be written. */
     private final Map<AnswerId, Query> abandonedQueries = new HashMap<>();
 
     void requestPage(HeldAnswer answer, int page) {
@@ -200,7 +200,7 @@
         send(new Word.Released(answer.handle()));
     }
 
-    /** The threads behind the loop do their next step; false if there is none. */
+    /** Performs the next queued disk action or delivers the next event; returns false if there is neither. */
     boolean runDiskAction() {
         Step action = diskActions.poll();
         if (action == null) {
@@ -238,7 +238,7 @@
 
     void runUntilIdle() {
         while (runDiskAction()) {
-            // until nothing is left to do
+            // runDiskAction() does the work
         }
     }
 
@@ -287,7 +287,7 @@
             byte[] bytes = new byte[text.remaining()];
             text.get(bytes);
             require(answer == null || Arrays.equals(bytes, answer.query().text(request.page())),
-                    "other bytes than were kept");
+                    "page differs from the one that was written");
             pagesRead++;
             if (answer != null && request.page() == answer.query().pageCount - 1) {
                 evictable.add(request.answer());
@@ -296,7 +296,8 @@
             diskEvents.add(new Word.PageRead(request.readId(), request.answer(), request.page()));
         } catch (IOException e) {
             corrupt.add(request.answer());
-            diskEvents.add(new Word.PageCorrupt(request.readId(), request.answer(), request.page(), e.getMessage()));
+            diskEvents.add(new Word.PageCorrupt(request.readId(), request.answer(), request.page(),
+                    e.getMessage()));
         }
     }
 
@@ -319,7 +320,7 @@
         }
     }
 
-    /** Whatever a client holds a handle of and may count on is there, to the byte. */
+    /** Reads every page of each answer that has to be kept and compares it byte for byte. */
     void checkHeldAnswers() {
         for (HeldAnswer answer : heldAnswers.values()) {
             AnswerId id = answer.handle().answer();
@@ -329,7 +330,9 @@
                     int before = pagesRead;
                     requestPage(answer, page);
                     runUntilIdle();
-                    require(pagesRead > before, "page " + page + " of " + id + " is gone: " + rejectedReads + logTexts);
+                    require(pagesRead > before, "page " + page + " of " + id + " can't be read: "
+                            + rejectedReads
+                            + logTexts);
                 }
             }
         }
--- a/src/test/java/reedspring/spool/SpoolTest.java
+++ b/src/test/java/reedspring/spool/SpoolTest.java
@@ -21,7 +21,7 @@
 class SpoolTest {
     private static final String[] TENANTS = {"acme", "bolt", "crow"};
 
-    /** One step of anything that clients, engines, disk and time can do. */
+    /** Performs one random operation of the clients, engines, disk or clock. */
     private static void randomStep(SpoolHarness harness) {
         SplittableRandom random = harness.random;
         switch (random.nextInt(12)) {
@@ -65,13 +65,15 @@
         SpoolHarness harness = new SpoolHarness(seed);
         for (int step = 0; step < 1_500; step++) {
             randomStep(harness);
-            assertTrue(harness.disk.used() <= TERMS.total(), "on the disk: " + harness.disk.used());
+            assertTrue(harness.disk.used() <= TERMS.total(), "bytes on disk: " + harness.disk.used());
         }
         harness.runUntilIdle();
         harness.checkHeldAnswers();
-        assertTrue(harness.corrupt.stream().noneMatch(harness.heldAnswers::containsKey), harness.logTexts::toString);
-        assertTrue(harness.keptCount > 20 && harness.pagesRead > 20, harness.keptCount + " kept, " + harness.pagesRead + " read");
-        // Nothing grows with what has gone.
+        assertTrue(harness.corrupt.stream().noneMatch(harness.heldAnswers::containsKey),
+                harness.logTexts::toString);
+        assertTrue(harness.keptCount > 20 && harness.pagesRead > 20, harness.keptCount + " kept, "
+                + harness.pagesRead + " read");
+        // Expired answers leave no entries behind.
         harness.now += 2 * TERMS.keepFor();
         for (var q : List.copyOf(harness.openQueries.values())) {
             harness.send(new Word.QueryOver(q.answer));
@@ -80,12 +82,12 @@
         harness.runUntilIdle();
         harness.send(new Word.Tick());
         harness.runUntilIdle();
-        assertTrue(harness.spool.trackedEntries() <= 1, "rows left: " + harness.spool.trackedEntries());
+        assertTrue(harness.spool.trackedEntries() <= 1, "entries left: " + harness.spool.trackedEntries());
         assertEquals(0, harness.spool.bufferedBytes());
-        assertTrue(harness.disk.used() < 1_000, "left on the disk: " + harness.disk.used());
+        assertTrue(harness.disk.used() < 1_000, "bytes left on disk: " + harness.disk.used());
     }
 
-    /** A crash at any write, sync, rename and delete, and once more while what is left is being read. */
+    /** Crashes at a random write, sync, rename or delete, and in part of the runs again during recovery. */
     @Property(seed = "1702", tries = 300, generation = GenerationMode.RANDOMIZED)
     void committedAnswersSurviveACrashAtAnyPoint(@ForAll long seed) {
         SpoolHarness harness = new SpoolHarness(seed);
@@ -97,7 +99,7 @@
                 }
                 harness.runUntilIdle();
             } catch (MemoryDisk.Crash e) {
-                // as planned
+                // the crash that crashAfter() scheduled
             }
             harness.disk.restart();
             for (boolean started = false; !started; ) {
@@ -117,14 +119,15 @@
         }
     }
 
-    /** No space, failed writes, short writes and failed syncs, then a crash. */
+    /** A full disk, failed writes, short writes and failed syncs, followed by a crash. */
     @Property(seed = "1703", tries = 100, generation = GenerationMode.RANDOMIZED)
     void diskFaultsLoseOnlyUncommittedAnswers(@ForAll long seed) {
         SpoolHarness harness = new SpoolHarness(seed);
         for (int step = 0; step < 2_000; step++) {
             if (step % 100 == 0) {
                 harness.disk.faults(harness.random.nextInt(3) == 0 ? 0.05 : 0);
-                harness.disk.room(harness.random.nextInt(6) == 0 ? harness.disk.used() + 5_000 : Long.MAX_VALUE);
+                harness.disk.room(harness.random.nextInt(6) == 0 ? harness.disk.used() + 5_000
+                        : Long.MAX_VALUE);
             }
             randomStep(harness);
         }
@@ -140,7 +143,7 @@
         assertTrue(harness.corrupt.isEmpty(), harness.logTexts::toString);
     }
 
-    /** Every page is what was kept or none at all, and the other answers stay. */
+    /** Each page is delivered unchanged or rejected, and a flip costs at most one answer. */
     @Property(seed = "1704", tries = 60, generation = GenerationMode.RANDOMIZED)
     void flippedBitsAreNeverServed(@ForAll long seed) {
         SpoolHarness harness = new SpoolHarness(seed);
@@ -168,12 +171,13 @@
                 harness.runUntilIdle();
                 if (!harness.rejectedReads.isEmpty()) {
                     gone++;
-                    assertTrue(List.of(Reason.DAMAGED, Reason.GONE).contains(harness.rejectedReads.get(0).reason()));
+                    assertTrue(List.of(Reason.DAMAGED, Reason.GONE)
+                            .contains(harness.rejectedReads.get(0).reason()));
                     break;
                 }
             }
         }
-        assertTrue(gone <= flips, gone + " gone by " + flips + " flips: " + harness.logTexts);
+        assertTrue(gone <= flips, gone + " answers lost by " + flips + " flips: " + harness.logTexts);
     }
 
     private static HeldAnswer keep(SpoolHarness harness, String tenant, int pages) {
@@ -197,7 +201,8 @@
                 harness.runUntilIdle();
             }
         }
-        assertTrue(harness.refusedCount > 50 && harness.heldAnswers.size() > 10, harness.heldAnswers.size() + " kept");
+        assertTrue(harness.refusedCount > 50 && harness.heldAnswers.size() > 10, harness.heldAnswers.size()
+                + " kept");
         int kept = harness.heldAnswers.size();
         keep(harness, "bolt", 10);
         assertEquals(kept + 1, harness.heldAnswers.size());
@@ -205,7 +210,8 @@
     }
 
     /**
-     * Full of what nobody has read: a query that may run again is deferred, one that may not is still kept.
+     * With a spool full of unread answers, the answer of a repeatable query is refused and that of another
+     * query is still kept.
      */
     @Example
     void headroomIsReservedForQueriesThatMustNotRunTwice() {
@@ -242,7 +248,7 @@
             harness.runUntilIdle();
         }
         int before = harness.heldAnswers.size();
-        // The room is there once its segment holds nothing else: the rest of it is moved.
+        // Space is freed when the segment is deleted, after its other answers have been moved.
         for (int k = 0; k < 5 && harness.heldAnswers.size() == before; k++) {
             harness.begin("acme", true, 8);
             for (int page = 0; page < 8; page++) {
@@ -273,7 +279,7 @@
         assertEquals(Reason.BUSY, harness.rejectedReads.get(2).reason());
         assertTrue(harness.rejectedReads.get(2).comeBack() > 0);
         harness.runUntilIdle();
-        // The same page twice, and in any order.
+        // Pages can be read repeatedly and in any order.
         for (int page : new int[] {2, 2, 0, 1, 0}) {
             harness.requestPage(answer, page);
             harness.runUntilIdle();
@@ -307,7 +313,8 @@
 
     @Example
     void tenThousandAnswersAreKeptAtOnce() {
-        Terms limits = new Terms(1L << 32, 1, 0, 600 * SECOND, 1 << 20, 6_000, 1 << 26, 1 << 20, 64, 64, SECOND,
+        Terms limits = new Terms(1L << 32, 1, 0, 600 * SECOND, 1 << 20, 6_000, 1 << 26, 1 << 20, 64, 64,
+                SECOND,
                 60 * SECOND);
         Spool spool = new Spool(limits, new SplittableRandom(1)::nextLong);
         List<Step> actions = new ArrayList<>();
@@ -339,12 +346,13 @@
         String text = oldHandles.write(handle);
         assertEquals(handle, newHandles.read(text, "acme"));
         assertEquals(handle, newHandles.read(newHandles.write(handle), "acme"));
-        assertNull(oldHandles.read(newHandles.write(handle), "acme"), "a key that it does not have");
+        assertNull(oldHandles.read(newHandles.write(handle), "acme"), "signed with an unknown key");
         assertNull(newHandles.read(text, "bolt"), "another tenant");
         assertNull(new Handles("n1", List.of(oldKey)).read(text, "acme"), "another front");
         assertNull(new Handles("n0a", List.of(oldKey)).read(new Handles("n0", List.of(oldKey))
-                .write(new Handle(handle.answer(), "acme", true, 5)), "cme"), "joined otherwise");
-        assertNull(new Handles("n0", List.of(newKey)).read(text, "acme"), "after the old key has gone");
+                .write(new Handle(handle.answer(), "acme", true, 5)), "cme"),
+                "same concatenation of front and tenant");
+        assertNull(new Handles("n0", List.of(newKey)).read(text, "acme"), "signed with a removed key");
     }
 
     @Property(seed = "1705", tries = 300, generation = GenerationMode.RANDOMIZED)
@@ -355,7 +363,7 @@
                 random.nextBoolean(), random.nextLong());
         String text = handles.write(handle);
         assertNotNull(handles.read(text, "acme"));
-        // The last character has bits that carry nothing.
+        // The last character is left out, as some of its bits are padding.
         int position = random.nextInt(text.length() - 1);
         char other = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_!\u00e4 ".charAt(
                 random.nextInt(67));
--- a/src/test/java/reedspring/spool/store/KeeperTest.java
+++ b/src/test/java/reedspring/spool/store/KeeperTest.java
@@ -19,19 +19,19 @@
 import reedspring.spool.Step;
 import reedspring.spool.Word;
 
-/** The threads behind the loop, on a disk that stands still and one that fails. */
+/** Tests the reading and writing threads on a disk that stalls and one that fails. */
 class KeeperTest {
     private final ExecutorService loop = Executors.newSingleThreadExecutor();
-    private final List<Word> words = new CopyOnWriteArrayList<>();
+    private final List<Word> events = new CopyOnWriteArrayList<>();
     private final List<String> pages = new CopyOnWriteArrayList<>();
     private final MemoryDisk disk = new MemoryDisk(1);
-    private volatile CountDownLatch goOn = new CountDownLatch(0);
+    private volatile CountDownLatch syncAllowed = new CountDownLatch(0);
     private volatile boolean readsFail;
-    private final Store store = new Store(new Stalling(), "n0", 100);
+    private final Store store = new Store(new StallingDisk(), "n0", 100);
     private final Keeper keeper = new Keeper(store, loop, new Keeper.Listener() {
         @Override
         public void word(Word word) {
-            words.add(word);
+            events.add(word);
         }
 
         @Override
@@ -42,8 +42,8 @@
         }
     }, 50);
 
-    /** Its syncs wait for the test. */
-    private final class Stalling implements Disk {
+    /** Blocks syncs until the test allows them, and fails reads on request. */
+    private final class StallingDisk implements Disk {
         @Override
         public List<String> list() {
             return disk.list();
@@ -61,7 +61,7 @@
                 @Override
                 public void sync() throws IOException {
                     try {
-                        goOn.await();
+                        syncAllowed.await();
                     } catch (InterruptedException e) {
                         throw new IOException(e);
                     }
@@ -105,7 +105,7 @@
     }
 
     @AfterTry
-    void end() {
+    void shutDown() {
         loop.shutdownNow();
     }
 
@@ -115,61 +115,64 @@
     }
 
     @Example
-    void whileTheDiskStandsStillNothingIsAcknowledgedAndReadersAreServed() throws Exception {
+    void readsContinueAndNothingCommitsWhileASyncStalls() throws Exception {
         AnswerId first = new AnswerId(1, 1);
         AnswerId second = new AnswerId(2, 2);
         keeper.start();
         keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
-        goOn = new CountDownLatch(1);
+        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
+        syncAllowed = new CountDownLatch(1);
         keep(second, 1);
-        // The page waits in memory no more, but the answer is not safe yet.
-        await("its page", () -> words.contains(new Word.PageWritten(second, 0)));
+        // The page is written and no longer buffered, but the answer isn't durable yet.
+        await("the second answer's page to be written",
+                () -> events.contains(new Word.PageWritten(second, 0)));
         keeper.accept(new Step.ReadPage(7, first, 1, 0), null);
-        await("a page meanwhile", () -> words.contains(new Word.PageRead(7, first, 0)));
+        await("a read during the stalled sync", () -> events.contains(new Word.PageRead(7, first, 0)));
         assertEquals(List.of("of " + first), pages);
         Thread.sleep(100);
-        assertFalse(words.contains(new Word.AnswerCommitted(second)));
-        assertFalse(keeper.close(50), "the end waits no longer than it is told to");
-        goOn.countDown();
-        await("the second", () -> words.contains(new Word.AnswerCommitted(second)));
+        assertFalse(events.contains(new Word.AnswerCommitted(second)));
+        assertFalse(keeper.close(50), "close() has to return after its timeout");
+        syncAllowed.countDown();
+        await("the commit of the second answer", () -> events.contains(new Word.AnswerCommitted(second)));
     }
 
-    /** An answer that was acknowledged is owed, whatever the disk does for a while. */
+    /** A read error must not be reported as corruption, which would drop a committed answer. */
     @Example
-    void aReadThatFailsForAWhileCostsNoAnswer() throws Exception {
+    void transientReadErrorsLoseNoAnswer() throws Exception {
         AnswerId first = new AnswerId(1, 1);
         keeper.start();
         keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
+        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
         readsFail = true;
         keeper.accept(new Step.ReadPage(7, first, 1, 0), null);
-        await("what became of it", () -> words.stream().anyMatch(word -> word instanceof Word.PageReadFailed
+        await("the result of the failed read",
+                () -> events.stream().anyMatch(word -> word instanceof Word.PageReadFailed
                 || word instanceof Word.PageCorrupt));
-        assertTrue(words.stream().noneMatch(Word.PageCorrupt.class::isInstance), "called damaged: " + words);
+        assertTrue(events.stream().noneMatch(Word.PageCorrupt.class::isInstance), "reported as corrupt: "
+                + events);
         readsFail = false;
         keeper.accept(new Step.ReadPage(8, first, 1, 0), null);
-        await("its page", () -> words.contains(new Word.PageRead(8, first, 0)));
+        await("the page", () -> events.contains(new Word.PageRead(8, first, 0)));
     }
 
-    /** A kill left a segment without its index, and the disk fails when the next process starts. */
+    /** A killed process left a segment without an index, and the disk fails when the next one starts. */
     @Example
-    void aStartOnADiskThatFailsFindsWhatWasKept() throws Exception {
+    void recoveryIsRetriedWhileTheDiskFails() throws Exception {
         AnswerId first = new AnswerId(1, 1);
         keeper.start();
         keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
+        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
         disk.restart();
         disk.faults(1);
         readsFail = true;
-        words.clear();
-        Keeper next = new Keeper(new Store(new Stalling(), "n0", 100), loop, new Keeper.Listener() {
+        events.clear();
+        Keeper restarted = new Keeper(new Store(new StallingDisk(), "n0", 100), loop, new Keeper.Listener() {
             @Override
             public void word(Word word) {
-                words.add(word);
+                events.add(word);
             }
 
             @Override
@@ -177,43 +180,47 @@
                 pages.add("read");
             }
         }, 50);
-        next.start();
+        restarted.start();
         Thread.sleep(200);
         readsFail = false;
-        await("what was kept", () -> words.stream().anyMatch(word -> word instanceof Word.Recovered found
+        await("the recovered answer",
+                () -> events.stream().anyMatch(word -> word instanceof Word.Recovered found
                 && found.answers().stream().anyMatch(answer -> answer.answer().equals(first))));
-        next.accept(new Step.ReadPage(7, first, 1, 0), null);
-        await("its page", () -> pages.contains("read"));
-        assertTrue(next.close(5_000));
+        restarted.accept(new Step.ReadPage(7, first, 1, 0), null);
+        await("the page", () -> pages.contains("read"));
+        assertTrue(restarted.close(5_000));
     }
 
     @Example
-    void afterAFailedSyncNothingMoreOfTheSegmentIsAcknowledged() throws Exception {
+    void nothingCommitsInASegmentAfterAFailedSync() throws Exception {
         AnswerId first = new AnswerId(1, 1);
         AnswerId second = new AnswerId(2, 2);
         AnswerId third = new AnswerId(3, 3);
         keeper.start();
         keeper.accept(new Step.OpenSegment(1), null);
         keep(first, 1);
-        await("the first", () -> words.contains(new Word.AnswerCommitted(first)));
-        goOn = new CountDownLatch(1);
+        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
+        syncAllowed = new CountDownLatch(1);
         keep(second, 1);
         disk.faults(1);
-        goOn.countDown();
-        await("the failure", () -> words.stream().anyMatch(Word.SegmentFailed.class::isInstance));
+        syncAllowed.countDown();
+        await("the segment's failure", () -> events.stream().anyMatch(Word.SegmentFailed.class::isInstance));
         disk.faults(0);
         keep(third, 1);
-        await("its page, which is let go", () -> words.contains(new Word.PageWritten(third, 0)));
+        await("the third answer's page to be released",
+                () -> events.contains(new Word.PageWritten(third, 0)));
         keeper.accept(new Step.SealSegment(1), null);
         keeper.accept(new Step.OpenSegment(2), null);
         keep(third, 2);
-        await("the third elsewhere", () -> words.contains(new Word.AnswerCommitted(third)));
-        assertEquals(1, words.stream().filter(Word.SegmentFailed.class::isInstance).count());
-        assertFalse(words.contains(new Word.AnswerCommitted(second)));
+        await("the commit of the third answer in another segment",
+                () -> events.contains(new Word.AnswerCommitted(third)));
+        assertEquals(1, events.stream().filter(Word.SegmentFailed.class::isInstance).count());
+        assertFalse(events.contains(new Word.AnswerCommitted(second)));
         assertTrue(keeper.close(5_000));
-        // What was acknowledged is there for the next process, and nothing else.
+        // The next process recovers the committed answers and no others.
         disk.restart();
         Word.Recovered found = new Store(disk, "n0", 100).recover(remark -> { });
-        assertEquals(List.of(first, third), found.answers().stream().map(Word.RecoveredAnswer::answer).toList());
+        assertEquals(List.of(first, third),
+                found.answers().stream().map(Word.RecoveredAnswer::answer).toList());
     }
 }
