--- a/src/main/java/reedspring/spool/Step.java
+++ b/src/main/java/reedspring/spool/Step.java
@@ -15,7 +15,7 @@
     record Refuse(Id.Query query, String why, long retryAfter) implements Step {
     }
 
-    /** Fetches a page of an accepted answer from its engine. */
+    /** Requests a page of an accepted answer from its engine. */
     record AskPage(AnswerId answer, int page) implements Step {
     }
 
@@ -29,7 +29,7 @@
 
     /** Follows the writes of all pages of the answer: makes the answer durable. */
     record CommitAnswer(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
-                  long expiresAt) implements Step {
+                        long expiresAt) implements Step {
     }
 
     /** The answer is durable: its query can be answered with a handle. */
--- a/src/main/java/reedspring/spool/Word.java
+++ b/src/main/java/reedspring/spool/Word.java
@@ -62,7 +62,7 @@
 
     /** Result of recovery; {@code lastSegment}: the highest segment number on disk. */
     record Recovered(List<RecoveredSegment> segments, List<RecoveredAnswer> answers,
-            long lastSegment) implements Word {
+                     long lastSegment) implements Word {
     }
 
     /** A segment on disk with its total size. */
@@ -74,7 +74,7 @@
      * present.
      */
     record RecoveredAnswer(AnswerId answer, String tenant, boolean repeatable, int pages, long bytes,
-                       long expiresAt, long segment, long sequence, boolean complete) {
+                           long expiresAt, long segment, long sequence, boolean complete) {
     }
 
     /** Recovery failed for good: no answers can be kept. */
--- a/src/main/java/reedspring/spool/store/Format.java
+++ b/src/main/java/reedspring/spool/store/Format.java
@@ -112,8 +112,8 @@
                 return null;
             }
             if (version != VERSION) {
-                throw new IOException("format version " + version + " is not supported, only " + VERSION
-                        + " is");
+                throw new IOException("format version " + version + " is not supported, only "
+                        + VERSION + " is");
             }
             return new String(name, StandardCharsets.UTF_8);
         } catch (BufferUnderflowException | NegativeArraySizeException e) {
@@ -123,9 +123,9 @@
 
     // ---- records
 
-    static ByteBuffer pageRecord(long segment, long position, AnswerId id, int page, ByteBuffer text) {
-        ByteBuffer encoded = newRecord(PAGE_HEADER_BYTES + text.remaining());
-        encoded.put(PAGE).putLong(id.high()).putLong(id.low()).putInt(page).put(text);
+    static ByteBuffer pageRecord(long segment, long position, AnswerId id, int page, ByteBuffer content) {
+        ByteBuffer encoded = newRecord(PAGE_HEADER_BYTES + content.remaining());
+        encoded.put(PAGE).putLong(id.high()).putLong(id.low()).putInt(page).put(content);
         return setChecksum(encoded, segment, position);
     }
 
@@ -208,8 +208,8 @@
     record IndexEntry(Commit commit, long[] positions, int[] bodyBytes) {
         long bytes() {
             long sum = 0;
-            for (int body : bodyBytes) {
-                sum += RECORD_HEADER_BYTES + body;
+            for (int size : bodyBytes) {
+                sum += RECORD_HEADER_BYTES + size;
             }
             return sum;
         }
@@ -219,6 +219,7 @@
     record Drop(AnswerId id, long sequence) {
     }
 
+    /** Content of a sealed segment; {@code segmentBytes}: size of its readable part. */
     record Index(long segment, long segmentBytes, List<IndexEntry> entries, List<Drop> drops) {
     }
 
@@ -257,9 +258,8 @@
         int bodyBytes = buffer.getInt();
         int crc = buffer.getInt();
         if (bodyBytes != buffer.remaining()
-                || !checksumMatches(number, position, crc, buffer.array(), buffer.arrayOffset()
-                + buffer.position(),
-                bodyBytes)) {
+                || !checksumMatches(number, position, crc, buffer.array(),
+                buffer.arrayOffset() + buffer.position(), bodyBytes)) {
             return null;
         }
         long segmentBytes = buffer.getLong();
--- a/src/main/java/reedspring/spool/store/Keeper.java
+++ b/src/main/java/reedspring/spool/store/Keeper.java
@@ -25,13 +25,14 @@
 public final class Keeper {
     /** Receives the results; called on the event loop only. */
     public interface Listener {
-        void word(Word word);
+        /** Handles an event of the spool. */
+        void word(Word event);
 
         /** The content of a page, just before its {@link Word.PageRead}. */
-        void page(long reader, ByteBuffer text);
+        void page(long readId, ByteBuffer content);
     }
 
-    private record Task(Step step, ByteBuffer text) {
+    private record Task(Step action, ByteBuffer content) {
     }
 
     private record PendingCommit(long segment, Word completion) {
@@ -69,11 +70,13 @@
     }
 
     /**
-     * @param text page content, for {@link Step.Write} only; not to be changed before its {@link
-     * Word.PageWritten}
+     * Queues an action.
+     *
+     * @param content of the page, for {@link Step.Write} only; must not change until its
+     *     {@link Word.PageWritten}
      */
-    public void accept(Step step, ByteBuffer text) {
-        (step instanceof Step.ReadPage ? reads : writes).add(new Task(step, text));
+    public void accept(Step action, ByteBuffer content) {
+        (action instanceof Step.ReadPage ? reads : writes).add(new Task(action, content));
     }
 
     /** Completes the queued writes and stops; returns false if that takes longer than the timeout. */
@@ -146,7 +149,7 @@
     }
 
     private void runTask(Task task) {
-        long segment = segmentOf(task.step());
+        long segment = segmentOf(task.action());
         try {
             if (segment < 0 || !failedSegments.containsKey(segment)) {
                 perform(task);
@@ -158,38 +161,38 @@
                 notice("disk action failed: " + e.getMessage());
             }
         }
-        if (task.step() instanceof Step.Write write) {
+        if (task.action() instanceof Step.Write write) {
             report(new Word.PageWritten(write.answer(), write.page()));
         }
     }
 
     /** Returns the segment that a failure of the action makes unusable, or -1. */
-    private static long segmentOf(Step step) {
-        return step instanceof Step.OpenSegment open ? open.segment()
-                : step instanceof Step.Write write ? write.segment()
-                : step instanceof Step.CommitAnswer commit ? commit.segment()
-                : step instanceof Step.MoveAnswer move ? move.targetSegment() : -1;
+    private static long segmentOf(Step action) {
+        return action instanceof Step.OpenSegment open ? open.segment()
+                : action instanceof Step.Write write ? write.segment()
+                : action instanceof Step.CommitAnswer commit ? commit.segment()
+                : action instanceof Step.MoveAnswer move ? move.targetSegment() : -1;
     }
 
     private void perform(Task task) throws IOException {
-        Step step = task.step();
-        if (step instanceof Step.OpenSegment open) {
+        Step action = task.action();
+        if (action instanceof Step.OpenSegment open) {
             store.open(open.segment());
-        } else if (step instanceof Step.Write write) {
-            store.write(write.answer(), write.segment(), write.page(), task.text());
-        } else if (step instanceof Step.CommitAnswer commit) {
+        } else if (action instanceof Step.Write write) {
+            store.write(write.answer(), write.segment(), write.page(), task.content());
+        } else if (action instanceof Step.CommitAnswer commit) {
             store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
                     commit.pages(),
                     commit.expiresAt());
             awaitSync(commit.segment(), new Word.AnswerCommitted(commit.answer()));
-        } else if (step instanceof Step.MoveAnswer move) {
+        } else if (action instanceof Step.MoveAnswer move) {
             move(move.answer(), move.targetSegment());
-        } else if (step instanceof Step.DropAnswer drop) {
+        } else if (action instanceof Step.DropAnswer drop) {
             store.drop(drop.answer());
-        } else if (step instanceof Step.SealSegment seal) {
+        } else if (action instanceof Step.SealSegment seal) {
             syncAll();
             store.seal(seal.segment());
-        } else if (step instanceof Step.DeleteSegment delete) {
+        } else if (action instanceof Step.DeleteSegment delete) {
             pendingCommits.removeIf(commit -> commit.segment() == delete.segment());
             failedSegments.remove(delete.segment());
             store.delete(delete.segment());
@@ -239,11 +242,11 @@
     private void runReader() {
         try {
             for (Task task = reads.take(); task != STOP; task = reads.take()) {
-                Step.ReadPage request = (Step.ReadPage) task.step();
+                Step.ReadPage request = (Step.ReadPage) task.action();
                 try {
-                    ByteBuffer text = store.read(request.answer(), request.page());
+                    ByteBuffer content = store.read(request.answer(), request.page());
                     loop.execute(() -> {
-                        listener.page(request.readId(), text);
+                        listener.page(request.readId(), content);
                         listener.word(new Word.PageRead(request.readId(), request.answer(), request.page()));
                     });
                 } catch (Store.CorruptDataException | RuntimeException e) {
--- a/src/main/java/reedspring/spool/store/Store.java
+++ b/src/main/java/reedspring/spool/store/Store.java
@@ -39,7 +39,7 @@
     private final Disk disk;
     private final String front;
     private final int maxBodyBytes;
-    private final Map<Long, OpenSegment> open = new LinkedHashMap<>();
+    private final Map<Long, OpenSegment> openSegments = new LinkedHashMap<>();
     /** Locations of the pages of committed answers. Also read by the reading thread. */
     private final Map<AnswerId, Location> locations = new ConcurrentHashMap<>();
     private final Map<Long, Disk.In> readFiles = new ConcurrentHashMap<>();
@@ -78,18 +78,18 @@
     public void open(long segment) throws IOException {
         Disk.Out file = disk.create(Format.segmentFileName(segment));
         OpenSegment opened = new OpenSegment(file);
-        open.put(segment, opened);
+        openSegments.put(segment, opened);
         append(segment, opened, Format.header(segment, front));
         // Otherwise a crash could remove the directory entry of a file whose content was synced.
         disk.syncNames();
     }
 
     /** Appends a page; it counts once the answer is committed. */
-    public void write(AnswerId answer, long segment, int page, ByteBuffer text) throws IOException {
+    public void write(AnswerId answer, long segment, int page, ByteBuffer content) throws IOException {
         OpenSegment target = writableSegment(segment);
         long position = target.endPosition;
-        int bodyBytes = Format.PAGE_HEADER_BYTES + text.remaining();
-        append(segment, target, Format.pageRecord(segment, position, answer, page, text));
+        int bodyBytes = Format.PAGE_HEADER_BYTES + content.remaining();
+        append(segment, target, Format.pageRecord(segment, position, answer, page, content));
         target.uncommittedPages.computeIfAbsent(answer, key -> new HashMap<>()).put(page,
                 new long[] {position, bodyBytes});
     }
@@ -100,10 +100,10 @@
     public void whole(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
                       long expiresAt) throws IOException {
         OpenSegment target = writableSegment(segment);
-        Map<Integer, long[]> pagePositions = target.uncommittedPages.remove(answer);
+        Map<Integer, long[]> pageLocations = target.uncommittedPages.remove(answer);
         Format.Commit commit = new Format.Commit(answer, ++lastSequence, pages, expiresAt, repeatable,
                 tenant);
-        Format.IndexEntry entry = indexEntry(commit, pagePositions);
+        Format.IndexEntry entry = indexEntry(commit, pageLocations);
         if (entry == null) {
             throw new IllegalStateException("pages of the answer are missing");
         }
@@ -111,19 +111,19 @@
         target.unsynced.add(entry);
     }
 
-    private static Format.IndexEntry indexEntry(Format.Commit commit, Map<Integer, long[]> pagePositions) {
-        if (pagePositions == null || pagePositions.size() != commit.pageCount()) {
+    private static Format.IndexEntry indexEntry(Format.Commit commit, Map<Integer, long[]> pageLocations) {
+        if (pageLocations == null || pageLocations.size() != commit.pageCount()) {
             return null;
         }
         long[] positions = new long[commit.pageCount()];
         int[] bodyBytes = new int[commit.pageCount()];
         for (int page = 0; page < positions.length; page++) {
-            long[] position = pagePositions.get(page);
-            if (position == null) {
+            long[] location = pageLocations.get(page);
+            if (location == null) {
                 return null;
             }
-            positions[page] = position[0];
-            bodyBytes[page] = (int) position[1];
+            positions[page] = location[0];
+            bodyBytes[page] = (int) location[1];
         }
         return new Format.IndexEntry(commit, positions, bodyBytes);
     }
@@ -151,7 +151,7 @@
      */
     public void drop(AnswerId answer) throws IOException {
         boolean known = locations.remove(answer) != null;
-        for (OpenSegment target : open.values()) {
+        for (OpenSegment target : openSegments.values()) {
             target.uncommittedPages.remove(answer);
             target.committed.remove(answer);
             known |= target.unsynced.removeIf(entry -> entry.commit().id().equals(answer));
@@ -159,7 +159,7 @@
         if (!known) {
             return;
         }
-        for (Map.Entry<Long, OpenSegment> entry : open.entrySet()) {
+        for (Map.Entry<Long, OpenSegment> entry : openSegments.entrySet()) {
             OpenSegment target = entry.getValue();
             if (!target.failed) {
                 long sequence = ++lastSequence;
@@ -173,7 +173,7 @@
 
     /** Closes the segment for writes and writes an index of its synced content. */
     public void seal(long segment) throws IOException {
-        OpenSegment target = open.remove(segment);
+        OpenSegment target = openSegments.remove(segment);
         if (target == null) {
             return;
         }
@@ -211,7 +211,7 @@
 
     /** Deletes the segment and its index. */
     public void delete(long segment) throws IOException {
-        OpenSegment opened = open.remove(segment);
+        OpenSegment opened = openSegments.remove(segment);
         if (opened != null) {
             opened.file.close();
         }
@@ -240,7 +240,7 @@
     }
 
     private OpenSegment writableSegment(long segment) throws IOException {
-        OpenSegment target = open.get(segment);
+        OpenSegment target = openSegments.get(segment);
         if (target == null || target.failed) {
             throw new IOException("segment " + segment + " is closed for writes");
         }
@@ -412,8 +412,8 @@
                     locations.put(commit.id(), location);
                 }
                 answers.add(new Word.RecoveredAnswer(commit.id(), commit.tenant(), commit.repeatable(),
-                        commit.pageCount(), location.entry().bytes() + Terms.ANSWER_OVERHEAD_BYTES, commit.expiresAt(),
-                        location.segment(), commit.sequence(), true));
+                        commit.pageCount(), location.entry().bytes() + Terms.ANSWER_OVERHEAD_BYTES,
+                        commit.expiresAt(), location.segment(), commit.sequence(), true));
             }
         }
         return new Word.Recovered(segments, answers, lastSegment);
@@ -540,7 +540,7 @@
     }
 
     void closeFiles() throws IOException {
-        for (OpenSegment segment : open.values()) {
+        for (OpenSegment segment : openSegments.values()) {
             segment.file.close();
         }
         for (Disk.In file : readFiles.values()) {
--- a/src/test/java/reedspring/spool/SpoolHarness.java
+++ b/src/test/java/reedspring/spool/SpoolHarness.java
@@ -33,26 +33,26 @@
         final String tenant;
         final boolean repeatable;
         final int pageCount;
-        final long textSeed = random.nextLong();
+        final long contentSeed = random.nextLong();
         AnswerId answer;
         String outcome;
 
-        Query(String tenant, boolean repeatable, int pages) {
+        Query(String tenant, boolean repeatable, int pageCount) {
             this.tenant = tenant;
             this.repeatable = repeatable;
-            this.pageCount = pages;
+            this.pageCount = pageCount;
         }
 
-        byte[] text(int page) {
-            SplittableRandom own = new SplittableRandom(textSeed + page);
-            byte[] text = new byte[1 + own.nextInt(TERMS.pageBytes())];
-            own.nextBytes(text);
-            return text;
+        byte[] pageContent(int page) {
+            SplittableRandom pageRandom = new SplittableRandom(contentSeed + page);
+            byte[] content = new byte[1 + pageRandom.nextInt(TERMS.pageBytes())];
+            pageRandom.nextBytes(content);
+            return content;
         }
 
-        void outcome(String how) {
-            require(outcome == null, "query ended twice: " + outcome + ", " + how);
-            outcome = how;
+        void endWith(String newOutcome) {
+            require(outcome == null, "query ended twice: " + outcome + ", " + newOutcome);
+            outcome = newOutcome;
         }
     }
 
@@ -103,8 +103,8 @@
         spool = new Spool(TERMS, random::nextLong);
         store = new Store(disk, "n0", TERMS.pageBytes());
         try {
-            Word.Recovered found = store.recover(logTexts::add);
-            send(found);
+            Word.Recovered recovered = store.recover(logTexts::add);
+            send(recovered);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -119,30 +119,29 @@
 
     /** Performs actions for clients and engines at once and queues disk actions for the simulated threads. */
     private void handle(Step action) {
-        if (action instanceof Step.Take taken) {
-            Query query = openQueries.get(taken.query());
-            query.answer = taken.answer();
-            requestedPages.put(taken.answer(), new ArrayList<>(List.of(0)));
-        } else if (action instanceof Step.AskPage ask) {
-            requestedPages.get(ask.answer()).add(ask.page());
+        if (action instanceof Step.Take accepted) {
+            Query query = openQueries.get(accepted.query());
+            query.answer = accepted.answer();
+            requestedPages.put(accepted.answer(), new ArrayList<>(List.of(0)));
+        } else if (action instanceof Step.AskPage fetch) {
+            requestedPages.get(fetch.answer()).add(fetch.page());
         } else if (action instanceof Step.Refuse refuse) {
             refusedCount++;
-            openQueries.remove(refuse.query()).outcome("refused");
-        } else if (action instanceof Step.Kept done) {
+            openQueries.remove(refuse.query()).endWith("refused");
+        } else if (action instanceof Step.Kept keptAction) {
             keptCount++;
-            Query query = openQueries.remove(done.query());
-            query.outcome("kept");
-            requestedPages.remove(done.answer());
-            heldAnswers.put(done.answer(),
-                    new HeldAnswer(query, new Handle(done.answer(), query.tenant, query.repeatable,
-                    done.expiresAt())));
-        } else if (action instanceof Step.Lost gone) {
+            Query query = openQueries.remove(keptAction.query());
+            query.endWith("kept");
+            requestedPages.remove(keptAction.answer());
+            heldAnswers.put(keptAction.answer(), new HeldAnswer(query,
+                    new Handle(keptAction.answer(), query.tenant, query.repeatable, keptAction.expiresAt())));
+        } else if (action instanceof Step.Lost lost) {
             lostCount++;
-            openQueries.remove(gone.query()).outcome("lost");
-            requestedPages.remove(gone.answer());
-        } else if (action instanceof Step.Say say) {
-            rejectedReads.add(say);
-            activeReads.remove(say.reader());
+            openQueries.remove(lost.query()).endWith("lost");
+            requestedPages.remove(lost.answer());
+        } else if (action instanceof Step.Say rejected) {
+            rejectedReads.add(rejected);
+            activeReads.remove(rejected.reader());
         } else if (action instanceof Step.Remark remark) {
             logTexts.add(remark.text());
         } else {
@@ -164,12 +163,12 @@
             AnswerId id = waiting.get(random.nextInt(waiting.size()));
             List<Integer> pages = requestedPages.get(id);
             int page = pages.remove(random.nextInt(pages.size()));
-            send(new Word.PageCame(id, page, query(id).text(page).length));
+            send(new Word.PageCame(id, page, query(id).pageContent(page).length));
         }
     }
 
     private Query query(AnswerId id) {
-        return openQueries.values().stream().filter(q -> id.equals(q.answer)).findAny()
+        return openQueries.values().stream().filter(query -> id.equals(query.answer)).findAny()
                 .orElseGet(() -> heldAnswers.get(id).query());
     }
 
@@ -178,7 +177,7 @@
         if (!accepted.isEmpty()) {
             Query query = accepted.get(random.nextInt(accepted.size()));
             openQueries.remove(query.id);
-            query.outcome("left");
+            query.endWith("left");
             requestedPages.remove(query.answer);
             abandonedQueries.put(query.answer, query);
             send(new Word.QueryOver(query.answer));
@@ -247,10 +246,10 @@
             store.open(open.segment());
         } else if (action instanceof Step.Write write) {
             Query query = abandonedQueries.containsKey(write.answer()) ? abandonedQueries.get(write.answer())
-                    : openQueries.values().stream().filter(b ->
-                            write.answer().equals(b.answer)).findAny().orElse(null);
-            byte[] text = query == null ? new byte[1] : query.text(write.page());
-            store.write(write.answer(), write.segment(), write.page(), ByteBuffer.wrap(text));
+                    : openQueries.values().stream().filter(candidate ->
+                            write.answer().equals(candidate.answer)).findAny().orElse(null);
+            byte[] content = query == null ? new byte[1] : query.pageContent(write.page());
+            store.write(write.answer(), write.segment(), write.page(), ByteBuffer.wrap(content));
         } else if (action instanceof Step.CommitAnswer commit) {
             store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
                     commit.pages(),
@@ -283,10 +282,10 @@
     private void readPage(Step.ReadPage request) {
         HeldAnswer answer = heldAnswers.get(request.answer());
         try {
-            ByteBuffer text = store.read(request.answer(), request.page());
-            byte[] bytes = new byte[text.remaining()];
-            text.get(bytes);
-            require(answer == null || Arrays.equals(bytes, answer.query().text(request.page())),
+            ByteBuffer content = store.read(request.answer(), request.page());
+            byte[] bytes = new byte[content.remaining()];
+            content.get(bytes);
+            require(answer == null || Arrays.equals(bytes, answer.query().pageContent(request.page())),
                     "page differs from the one that was written");
             pagesRead++;
             if (answer != null && request.page() == answer.query().pageCount - 1) {
@@ -331,8 +330,7 @@
                     requestPage(answer, page);
                     runUntilIdle();
                     require(pagesRead > before, "page " + page + " of " + id + " can't be read: "
-                            + rejectedReads
-                            + logTexts);
+                            + rejectedReads + logTexts);
                 }
             }
         }
--- a/src/test/java/reedspring/spool/store/KeeperTest.java
+++ b/src/test/java/reedspring/spool/store/KeeperTest.java
@@ -30,14 +30,14 @@
     private final Store store = new Store(new StallingDisk(), "n0", 100);
     private final Keeper keeper = new Keeper(store, loop, new Keeper.Listener() {
         @Override
-        public void word(Word word) {
-            events.add(word);
+        public void word(Word event) {
+            events.add(event);
         }
 
         @Override
-        public void page(long reader, ByteBuffer text) {
-            byte[] bytes = new byte[text.remaining()];
-            text.get(bytes);
+        public void page(long readId, ByteBuffer content) {
+            byte[] bytes = new byte[content.remaining()];
+            content.get(bytes);
             pages.add(new String(bytes));
         }
     }, 50);
@@ -148,8 +148,8 @@
         readsFail = true;
         keeper.accept(new Step.ReadPage(7, first, 1, 0), null);
         await("the result of the failed read",
-                () -> events.stream().anyMatch(word -> word instanceof Word.PageReadFailed
-                || word instanceof Word.PageCorrupt));
+                () -> events.stream().anyMatch(event -> event instanceof Word.PageReadFailed
+                || event instanceof Word.PageCorrupt));
         assertTrue(events.stream().noneMatch(Word.PageCorrupt.class::isInstance), "reported as corrupt: "
                 + events);
         readsFail = false;
@@ -171,12 +171,12 @@
         events.clear();
         Keeper restarted = new Keeper(new Store(new StallingDisk(), "n0", 100), loop, new Keeper.Listener() {
             @Override
-            public void word(Word word) {
-                events.add(word);
+            public void word(Word event) {
+                events.add(event);
             }
 
             @Override
-            public void page(long reader, ByteBuffer text) {
+            public void page(long readId, ByteBuffer content) {
                 pages.add("read");
             }
         }, 50);
@@ -184,7 +184,7 @@
         Thread.sleep(200);
         readsFail = false;
         await("the recovered answer",
-                () -> events.stream().anyMatch(word -> word instanceof Word.Recovered found
+                () -> events.stream().anyMatch(event -> event instanceof Word.Recovered found
                 && found.answers().stream().anyMatch(answer -> answer.answer().equals(first))));
         restarted.accept(new Step.ReadPage(7, first, 1, 0), null);
         await("the page", () -> pages.contains("read"));
