--- a/src/main/java/reedspring/spool/Spool.java
+++ b/src/main/java/reedspring/spool/Spool.java
@@ -167,8 +167,7 @@
     /** Number of entries in all tables, for tests that check for leaks. */
     int trackedEntries() {
         return answers.size() + uncommitted.size() + answerByQuery.size() + segments.size()
-                + usageByTenant.size()
-                + activeReads.size();
+                + usageByTenant.size() + activeReads.size();
     }
 
     // ---- space
@@ -177,8 +176,8 @@
         long maxBytes = terms.maxDiskBytes(started.pages()) + Terms.SEGMENT_OVERHEAD_BYTES;
         String rejection = started.pages() < 1 || maxBytes > terms.maxAnswerBytes()
                 ? "answer exceeds the size limit"
-                : !recovered ? "spool recovery is not finished" : now < backoffUntil ? "disk failed recently"
-                : null;
+                : !recovered ? "spool recovery is not finished"
+                : now < backoffUntil ? "disk failed recently" : null;
         // The first page arrives without being requested: while the disk is stalled, each new answer would
         // buffer one.
         if (rejection == null && bufferedBytes + terms.pageBytes() > 2 * terms.inMemory()) {
--- a/src/main/java/reedspring/spool/Step.java
+++ b/src/main/java/reedspring/spool/Step.java
@@ -2,7 +2,10 @@
 
 import reedspring.api.Id;
 
-/** An action that the spool decides on. The caller performs the actions in the order given. */
+/**
+ * An action that the spool decides on. The caller performs the actions in the order given. Durations are in
+ * ticks (tenths of a millisecond), {@code expiresAt} is Unix time in ticks.
+ */
 public sealed interface Step {
     /** Space is reserved for the answer under this id; page 0 can be delivered. */
     record Take(Id.Query query, AnswerId answer) implements Step {
--- a/src/main/java/reedspring/spool/Word.java
+++ b/src/main/java/reedspring/spool/Word.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import reedspring.api.Id;
 
-/** An event that the spool reacts to. */
+/** An event that the spool reacts to. {@code expiresAt} is Unix time in ticks (tenths of a millisecond). */
 public sealed interface Word {
     /** An engine announced an answer of so many pages; {@code repeatable}: its query may run again. */
     record Began(Id.Query query, String tenant, boolean repeatable, int pages) implements Word {
--- a/src/main/java/reedspring/spool/store/FileDisk.java
+++ b/src/main/java/reedspring/spool/store/FileDisk.java
@@ -89,10 +89,10 @@
             }
 
             @Override
-            public void read(ByteBuffer into, long at) throws IOException {
-                long from = at;
-                for (int got = 0; into.hasRemaining() && got >= 0; from += Math.max(0, got)) {
-                    got = file.read(into, from);
+            public void read(ByteBuffer buffer, long position) throws IOException {
+                long next = position;
+                for (int count = 0; buffer.hasRemaining() && count >= 0; next += Math.max(0, count)) {
+                    count = file.read(buffer, next);
                 }
             }
 
--- a/src/main/java/reedspring/spool/store/Keeper.java
+++ b/src/main/java/reedspring/spool/store/Keeper.java
@@ -182,8 +182,7 @@
             store.write(write.answer(), write.segment(), write.page(), task.content());
         } else if (action instanceof Step.CommitAnswer commit) {
             store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
-                    commit.pages(),
-                    commit.expiresAt());
+                    commit.pages(), commit.expiresAt());
             awaitSync(commit.segment(), new Word.AnswerCommitted(commit.answer()));
         } else if (action instanceof Step.MoveAnswer move) {
             move(move.answer(), move.targetSegment());
--- a/src/test/java/reedspring/spool/SpoolHarness.java
+++ b/src/test/java/reedspring/spool/SpoolHarness.java
@@ -252,8 +252,7 @@
             store.write(write.answer(), write.segment(), write.page(), ByteBuffer.wrap(content));
         } else if (action instanceof Step.CommitAnswer commit) {
             store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
-                    commit.pages(),
-                    commit.expiresAt());
+                    commit.pages(), commit.expiresAt());
             unsyncedEvents.computeIfAbsent(commit.segment(), k -> new ArrayList<>())
                     .add(new Word.AnswerCommitted(commit.answer()));
         } else if (action instanceof Step.MoveAnswer move) {
