--- a/src/main/java/reedspring/spool/store/Format.java
+++ b/src/main/java/reedspring/spool/store/Format.java
@@ -10,106 +10,110 @@
 import reedspring.spool.AnswerId;
 
 /**
- * What stands in the spool's files, version 1, all figures big-endian. docs/spool.md has it in full.
+ * File format of the spool, version 1, big-endian. docs/spool.md describes it in full.
  *
- * <p>A segment is a head and records: length of the body, CRC32C over segment number, place and body, body.
- * So a record that lies elsewhere than it was written, in another file or left over from an older one, is no
- * record. An index is one such body behind a head of its own, and tells what a sealed segment holds.
+ * <p>A segment is a header followed by records. A record is the length of its body, a CRC32C over segment
+ * number, file position and body, and the body. The checksum therefore rejects a record at another position,
+ * in another file or left over from an older file. An index is a header and one such body, and describes the
+ * content of a sealed segment.
  */
 final class Format {
     static final int VERSION = 1;
     static final byte PAGE = 1;
-    static final byte WHOLE = 2;
+    static final byte COMMIT = 2;
     static final byte DROP = 3;
-    static final int RECORD_HEAD = 8;
-    /** Before the text of a page: kind, answer, page. */
-    static final int PAGE_HEAD = 1 + 16 + 4;
-    static final int MOST_NAME = 255;
-    /** What a page may hold by the format, whatever the terms say. */
-    static final int MOST_PAGE = 1 << 16;
+    static final int RECORD_HEADER_BYTES = 8;
+    /** Fields in front of the content of a page: record type, answer id, page number. */
+    static final int PAGE_HEADER_BYTES = 1 + 16 + 4;
+    static final int MAX_NAME_BYTES = 255;
+    /** Maximum page size of the format, independent of the configured limit. */
+    static final int MAX_PAGE_BYTES = 1 << 16;
     private static final long SEGMENT_MAGIC = 0x7265_6564_7370_6f6fL;
     private static final long INDEX_MAGIC = 0x7265_6564_696e_6478L;
-    private static final String SEGMENT = ".seg";
-    private static final String INDEX = ".idx";
-    private static final String UNDONE = ".tmp";
+    private static final String SEGMENT_SUFFIX = ".seg";
+    private static final String INDEX_SUFFIX = ".idx";
+    private static final String TEMPORARY_SUFFIX = ".tmp";
 
     private Format() {
     }
 
-    static String segment(long number) {
-        return name(number, SEGMENT);
+    static String segmentFileName(long number) {
+        return fileName(number, SEGMENT_SUFFIX);
     }
 
-    static String index(long number) {
-        return name(number, INDEX);
+    static String indexFileName(long number) {
+        return fileName(number, INDEX_SUFFIX);
     }
 
-    static String undone(long number) {
-        return name(number, UNDONE);
+    static String temporaryFileName(long number) {
+        return fileName(number, TEMPORARY_SUFFIX);
     }
 
-    private static String name(long number, String kind) {
-        return String.format("%016x", number) + kind;
+    private static String fileName(long number, String suffix) {
+        return String.format("%016x", number) + suffix;
     }
 
-    /** The number in a name of that kind, or -1. */
-    static long number(String name, String kind) {
-        return name.matches("[0-7][0-9a-f]{15}\\" + kind) ? Long.parseLong(name.substring(0, 16), 16) : -1;
+    /** Returns the segment number in a file name with this suffix, or -1. */
+    static long fileNumber(String name, String suffix) {
+        return name.matches("[0-7][0-9a-f]{15}\\" + suffix) ? Long.parseLong(name.substring(0, 16), 16) : -1;
     }
 
     static long segmentNumber(String name) {
-        return number(name, SEGMENT);
+        return fileNumber(name, SEGMENT_SUFFIX);
     }
 
     static long indexNumber(String name) {
-        return number(name, INDEX);
+        return fileNumber(name, INDEX_SUFFIX);
     }
 
-    static boolean undone(String name) {
-        return number(name, UNDONE) >= 0;
+    static boolean isTemporary(String name) {
+        return fileNumber(name, TEMPORARY_SUFFIX) >= 0;
     }
 
-    // ---- heads
+    // ---- headers
 
-    static ByteBuffer head(long number, String front) {
-        return head(SEGMENT_MAGIC, number, front);
+    static ByteBuffer header(long number, String front) {
+        return header(SEGMENT_MAGIC, number, front);
     }
 
-    private static ByteBuffer head(long magic, long number, String front) {
+    private static ByteBuffer header(long magic, long number, String front) {
         byte[] name = front.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer out = ByteBuffer.allocate(headBytes(name.length));
-        out.putLong(magic).putShort((short) VERSION).putLong(number).putShort((short) name.length).put(name);
-        out.putInt(crc(number, 0, out.array(), 0, out.position()));
-        return out.flip();
+        ByteBuffer header = ByteBuffer.allocate(headerBytes(name.length));
+        header.putLong(magic).putShort((short) VERSION).putLong(number).putShort((short) name.length)
+                .put(name);
+        header.putInt(crc(number, 0, header.array(), 0, header.position()));
+        return header.flip();
     }
 
-    private static int headBytes(int name) {
-        return 8 + 2 + 8 + 2 + name + 4;
+    private static int headerBytes(int nameBytes) {
+        return 8 + 2 + 8 + 2 + nameBytes + 4;
     }
 
-    static final int MOST_HEAD = headBytes(MOST_NAME);
+    static final int MAX_HEADER_BYTES = headerBytes(MAX_NAME_BYTES);
 
-    /** Reads past a head; the front's name, or null if it is none of this number. */
-    static String readHead(ByteBuffer in, long number) throws IOException {
-        return readHead(in, SEGMENT_MAGIC, number);
+    /** Reads a header and returns the front's name, or null if it isn't a valid header for this number. */
+    static String readHeader(ByteBuffer buffer, long number) throws IOException {
+        return readHeader(buffer, SEGMENT_MAGIC, number);
     }
 
-    private static String readHead(ByteBuffer in, long magic, long number) throws IOException {
-        int from = in.position();
+    private static String readHeader(ByteBuffer buffer, long magic, long number) throws IOException {
+        int start = buffer.position();
         try {
-            if (in.getLong() != magic) {
+            if (buffer.getLong() != magic) {
                 return null;
             }
-            int version = in.getShort();
-            long named = in.getLong();
-            byte[] name = new byte[in.getShort()];
-            in.get(name);
-            if (in.getInt() != crc(number, 0, in.array(), in.arrayOffset() + from, headBytes(name.length) - 4)
-                    || named != number) {
+            int version = buffer.getShort();
+            long headerNumber = buffer.getLong();
+            byte[] name = new byte[buffer.getShort()];
+            buffer.get(name);
+            if (buffer.getInt() != crc(number, 0, buffer.array(), buffer.arrayOffset() + start,
+                    headerBytes(name.length) - 4)
+                    || headerNumber != number) {
                 return null;
             }
             if (version != VERSION) {
-                throw new IOException("version " + version + " of the format, " + VERSION + " is known");
+                throw new IOException("format version " + version + " is not supported, only "
+                        + VERSION + " is");
             }
             return new String(name, StandardCharsets.UTF_8);
         } catch (BufferUnderflowException | NegativeArraySizeException e) {
@@ -119,157 +123,163 @@
 
     // ---- records
 
-    static ByteBuffer page(long segment, long at, AnswerId id, int page, ByteBuffer text) {
-        ByteBuffer out = record(PAGE_HEAD + text.remaining());
-        out.put(PAGE).putLong(id.high()).putLong(id.low()).putInt(page).put(text);
-        return seal(out, segment, at);
+    static ByteBuffer pageRecord(long segment, long position, AnswerId id, int page, ByteBuffer content) {
+        ByteBuffer encoded = newRecord(PAGE_HEADER_BYTES + content.remaining());
+        encoded.put(PAGE).putLong(id.high()).putLong(id.low()).putInt(page).put(content);
+        return setChecksum(encoded, segment, position);
     }
 
-    /** What makes an answer whole. */
-    record Whole(AnswerId id, long order, int pages, long expiresAt, boolean repeatable, String tenant) {
+    /** Marks an answer as complete. */
+    record Commit(AnswerId id, long sequence, int pageCount, long expiresAt, boolean repeatable,
+            String tenant) {
     }
 
-    static ByteBuffer whole(long segment, long at, Whole whole) {
-        byte[] tenant = name(whole.tenant());
-        ByteBuffer out = record(1 + 16 + wholeBytes(tenant));
-        out.put(WHOLE).putLong(whole.id().high()).putLong(whole.id().low());
-        put(out, whole, tenant);
-        return seal(out, segment, at);
+    static ByteBuffer commitRecord(long segment, long position, Commit commit) {
+        byte[] tenant = nameBytes(commit.tenant());
+        ByteBuffer encoded = newRecord(1 + 16 + commitBytes(tenant));
+        encoded.put(COMMIT).putLong(commit.id().high()).putLong(commit.id().low());
+        putCommit(encoded, commit, tenant);
+        return setChecksum(encoded, segment, position);
     }
 
-    private static int wholeBytes(byte[] tenant) {
+    private static int commitBytes(byte[] tenant) {
         return 8 + 4 + 8 + 1 + 2 + tenant.length;
     }
 
-    private static byte[] name(String text) {
+    private static byte[] nameBytes(String text) {
         byte[] name = text.getBytes(StandardCharsets.UTF_8);
-        if (name.length > MOST_NAME) {
-            throw new IllegalArgumentException("a name of over " + MOST_NAME + " bytes");
+        if (name.length > MAX_NAME_BYTES) {
+            throw new IllegalArgumentException("name is longer than " + MAX_NAME_BYTES + " bytes");
         }
         return name;
     }
 
-    private static void put(ByteBuffer out, Whole whole, byte[] tenant) {
-        out.putLong(whole.order()).putInt(whole.pages()).putLong(whole.expiresAt())
-                .put((byte) (whole.repeatable() ? 1 : 0)).putShort((short) tenant.length).put(tenant);
+    private static void putCommit(ByteBuffer encoded, Commit commit, byte[] tenant) {
+        encoded.putLong(commit.sequence()).putInt(commit.pageCount()).putLong(commit.expiresAt())
+                .put((byte) (commit.repeatable() ? 1 : 0)).putShort((short) tenant.length).put(tenant);
     }
 
-    static Whole whole(AnswerId id, ByteBuffer in) {
-        long order = in.getLong();
-        int pages = in.getInt();
-        long expiresAt = in.getLong();
-        boolean repeatable = in.get() == 1;
-        byte[] tenant = new byte[in.getShort()];
-        in.get(tenant);
-        return new Whole(id, order, pages, expiresAt, repeatable, new String(tenant, StandardCharsets.UTF_8));
+    static Commit readCommit(AnswerId id, ByteBuffer buffer) {
+        long sequence = buffer.getLong();
+        int pageCount = buffer.getInt();
+        long expiresAt = buffer.getLong();
+        boolean repeatable = buffer.get() == 1;
+        byte[] tenant = new byte[buffer.getShort()];
+        buffer.get(tenant);
+        return new Commit(id, sequence, pageCount, expiresAt, repeatable,
+                new String(tenant, StandardCharsets.UTF_8));
     }
 
-    /** All copies that were made whole before are dead. */
-    static ByteBuffer drop(long segment, long at, AnswerId id, long order) {
-        ByteBuffer out = record(1 + 16 + 8);
-        out.put(DROP).putLong(id.high()).putLong(id.low()).putLong(order);
-        return seal(out, segment, at);
+    /** Record that invalidates all earlier commits of the answer. */
+    static ByteBuffer dropRecord(long segment, long position, AnswerId id, long sequence) {
+        ByteBuffer encoded = newRecord(1 + 16 + 8);
+        encoded.put(DROP).putLong(id.high()).putLong(id.low()).putLong(sequence);
+        return setChecksum(encoded, segment, position);
     }
 
-    private static ByteBuffer record(int body) {
-        ByteBuffer out = ByteBuffer.allocate(RECORD_HEAD + body);
-        out.putInt(body).putInt(0);
-        return out;
+    private static ByteBuffer newRecord(int bodyBytes) {
+        ByteBuffer encoded = ByteBuffer.allocate(RECORD_HEADER_BYTES + bodyBytes);
+        encoded.putInt(bodyBytes).putInt(0);
+        return encoded;
     }
 
-    private static ByteBuffer seal(ByteBuffer out, long segment, long at) {
-        int body = out.position() - RECORD_HEAD;
-        out.putInt(4, crc(segment, at, out.array(), RECORD_HEAD, body));
-        return out.flip();
+    private static ByteBuffer setChecksum(ByteBuffer encoded, long segment, long position) {
+        int bodyBytes = encoded.position() - RECORD_HEADER_BYTES;
+        encoded.putInt(4, crc(segment, position, encoded.array(), RECORD_HEADER_BYTES, bodyBytes));
+        return encoded.flip();
     }
 
-    /** Whether the bytes are the body of a record of that segment at that place. */
-    static boolean sealed(long segment, long at, int crc, byte[] bytes, int from, int length) {
-        return crc(segment, at, bytes, from, length) == crc;
+    /** Whether the checksum matches a record with this body in the segment at the position. */
+    static boolean checksumMatches(long segment, long position, int expected, byte[] bytes, int offset,
+            int length) {
+        return crc(segment, position, bytes, offset, length) == expected;
     }
 
-    private static int crc(long segment, long at, byte[] bytes, int from, int length) {
+    private static int crc(long segment, long position, byte[] bytes, int offset, int length) {
         CRC32C crc = new CRC32C();
-        crc.update(ByteBuffer.allocate(16).putLong(segment).putLong(at).flip());
-        crc.update(bytes, from, length);
+        crc.update(ByteBuffer.allocate(16).putLong(segment).putLong(position).flip());
+        crc.update(bytes, offset, length);
         return (int) crc.getValue();
     }
 
     // ---- indexes
 
-    /** Where an answer's pages are: places of their records, and the lengths of their bodies. */
-    record Entry(Whole whole, long[] at, int[] length) {
+    /** Locations of the pages of an answer: file positions of their records and sizes of the bodies. */
+    record IndexEntry(Commit commit, long[] positions, int[] bodyBytes) {
         long bytes() {
             long sum = 0;
-            for (int body : length) {
-                sum += RECORD_HEAD + body;
+            for (int size : bodyBytes) {
+                sum += RECORD_HEADER_BYTES + size;
             }
             return sum;
         }
     }
 
-    /** What was given up, and up to which order. */
-    record Dropped(AnswerId id, long order) {
+    /** A dropped answer: all commits up to the sequence number are invalid. */
+    record Drop(AnswerId id, long sequence) {
     }
 
-    record Index(long number, long bytes, List<Entry> entries, List<Dropped> dropped) {
+    /** Content of a sealed segment; {@code segmentBytes}: size of its readable part. */
+    record Index(long segment, long segmentBytes, List<IndexEntry> entries, List<Drop> drops) {
     }
 
-    static ByteBuffer index(Index index, String front) {
-        ByteBuffer head = head(INDEX_MAGIC, index.number(), front);
-        int body = 8 + 4 + 4 + index.dropped().size() * 24;
-        for (Entry entry : index.entries()) {
-            body += 16 + wholeBytes(name(entry.whole().tenant())) + entry.at().length * 12;
+    static ByteBuffer encodeIndex(Index index, String front) {
+        ByteBuffer header = header(INDEX_MAGIC, index.segment(), front);
+        int bodyBytes = 8 + 4 + 4 + index.drops().size() * 24;
+        for (IndexEntry entry : index.entries()) {
+            bodyBytes += 16 + commitBytes(nameBytes(entry.commit().tenant())) + entry.positions().length * 12;
         }
-        ByteBuffer out = ByteBuffer.allocate(head.remaining() + RECORD_HEAD + body);
-        int at = head.remaining();
-        out.put(head).putInt(body).putInt(0);
-        out.putLong(index.bytes()).putInt(index.entries().size()).putInt(index.dropped().size());
-        for (Entry entry : index.entries()) {
-            out.putLong(entry.whole().id().high()).putLong(entry.whole().id().low());
-            put(out, entry.whole(), name(entry.whole().tenant()));
-            for (int k = 0; k < entry.at().length; k++) {
-                out.putLong(entry.at()[k]).putInt(entry.length()[k]);
+        ByteBuffer encoded = ByteBuffer.allocate(header.remaining() + RECORD_HEADER_BYTES + bodyBytes);
+        int position = header.remaining();
+        encoded.put(header).putInt(bodyBytes).putInt(0);
+        encoded.putLong(index.segmentBytes()).putInt(index.entries().size()).putInt(index.drops().size());
+        for (IndexEntry entry : index.entries()) {
+            encoded.putLong(entry.commit().id().high()).putLong(entry.commit().id().low());
+            putCommit(encoded, entry.commit(), nameBytes(entry.commit().tenant()));
+            for (int k = 0; k < entry.positions().length; k++) {
+                encoded.putLong(entry.positions()[k]).putInt(entry.bodyBytes()[k]);
             }
         }
-        for (Dropped dropped : index.dropped()) {
-            out.putLong(dropped.id().high()).putLong(dropped.id().low()).putLong(dropped.order());
+        for (Drop dropped : index.drops()) {
+            encoded.putLong(dropped.id().high()).putLong(dropped.id().low()).putLong(dropped.sequence());
         }
-        out.putInt(at + 4, crc(index.number(), at, out.array(), at + RECORD_HEAD, body));
-        return out.flip();
+        encoded.putInt(position + 4,
+                crc(index.segment(), position, encoded.array(), position + RECORD_HEADER_BYTES, bodyBytes));
+        return encoded.flip();
     }
 
-    /** Null for what is no index of that number, of that front. */
-    static Index readIndex(ByteBuffer in, long number, String front) throws IOException {
-        String named = readHead(in, INDEX_MAGIC, number);
-        if (named == null || !named.equals(front) || in.remaining() < RECORD_HEAD) {
+    /** Returns null if the content isn't a valid index of this segment and front. */
+    static Index readIndex(ByteBuffer buffer, long number, String front) throws IOException {
+        String owner = readHeader(buffer, INDEX_MAGIC, number);
+        if (owner == null || !owner.equals(front) || buffer.remaining() < RECORD_HEADER_BYTES) {
             return null;
         }
-        int at = in.position();
-        int body = in.getInt();
-        int crc = in.getInt();
-        if (body != in.remaining() || !sealed(number, at, crc, in.array(), in.arrayOffset() + in.position(),
-                body)) {
+        int position = buffer.position();
+        int bodyBytes = buffer.getInt();
+        int crc = buffer.getInt();
+        if (bodyBytes != buffer.remaining()
+                || !checksumMatches(number, position, crc, buffer.array(),
+                buffer.arrayOffset() + buffer.position(), bodyBytes)) {
             return null;
         }
-        long bytes = in.getLong();
-        int count = in.getInt();
-        int gone = in.getInt();
-        List<Entry> entries = new ArrayList<>();
-        for (int k = 0; k < count; k++) {
-            Whole whole = whole(new AnswerId(in.getLong(), in.getLong()), in);
-            long[] places = new long[whole.pages()];
-            int[] lengths = new int[whole.pages()];
-            for (int page = 0; page < places.length; page++) {
-                places[page] = in.getLong();
-                lengths[page] = in.getInt();
+        long segmentBytes = buffer.getLong();
+        int entryCount = buffer.getInt();
+        int dropCount = buffer.getInt();
+        List<IndexEntry> entries = new ArrayList<>();
+        for (int k = 0; k < entryCount; k++) {
+            Commit commit = readCommit(new AnswerId(buffer.getLong(), buffer.getLong()), buffer);
+            long[] positions = new long[commit.pageCount()];
+            int[] lengths = new int[commit.pageCount()];
+            for (int page = 0; page < positions.length; page++) {
+                positions[page] = buffer.getLong();
+                lengths[page] = buffer.getInt();
             }
-            entries.add(new Entry(whole, places, lengths));
+            entries.add(new IndexEntry(commit, positions, lengths));
         }
-        List<Dropped> dropped = new ArrayList<>();
-        for (int k = 0; k < gone; k++) {
-            dropped.add(new Dropped(new AnswerId(in.getLong(), in.getLong()), in.getLong()));
+        List<Drop> drops = new ArrayList<>();
+        for (int k = 0; k < dropCount; k++) {
+            drops.add(new Drop(new AnswerId(buffer.getLong(), buffer.getLong()), buffer.getLong()));
         }
-        return new Index(number, bytes, entries, dropped);
+        return new Index(number, segmentBytes, entries, drops);
     }
 }
