--- a/src/main/java/reedspring/Main.java
+++ b/src/main/java/reedspring/Main.java
@@ -7,8 +7,8 @@
 import reedspring.net.Startup;
 
 /**
- * The platform's two lines, started without what the rest of the command line needs: a front on half a core
- * pays for each class.
+ * Entry point. It runs the platform's two command lines, {@code serve} and {@code adapter}, without loading
+ * the command line library: on half a core, each loaded class delays a front's start.
  */
 public final class Main {
     private Main() {
--- a/src/main/java/reedspring/cli/Commands.java
+++ b/src/main/java/reedspring/cli/Commands.java
@@ -13,55 +13,56 @@
 import reedspring.settings.StandingOrders;
 
 /**
- * The command line for operators. The platform's two lines never come here: {@code Main} starts them without
- * a class of this package or its library.
+ * The command line for operators. The platform's two command lines are not handled here: {@code Main} runs
+ * them without loading this package and its library.
  */
 @Command(name = "reedspring", mixinStandardHelpOptions = true, version = "reedspring 0.1.0",
         description = "A gateway that keeps short and long queries apart on shared query engines.",
         subcommands = {Commands.Serve.class, Commands.Adapt.class, Commands.Check.class, SpoolCommands.class},
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:done", "64:wrong arguments", "65:bad input",
-        "69:something that is needed can't be had",
-            "78:the configuration or the settings can't be used"})
+        "69:a required resource is not available",
+        "78:the configuration or the settings can't be used"})
 public final class Commands {
-    static final int USAGE = 64;
-    static final int BAD_INPUT = 65;
-    static final int UNAVAILABLE = 69;
-    static final int UNUSABLE = 78;
+    static final int EXIT_USAGE = 64;
+    static final int EXIT_BAD_INPUT = 65;
+    static final int EXIT_UNAVAILABLE = 69;
+    static final int EXIT_CONFIGURATION = 78;
 
     private Commands() {
     }
 
-    /** The exit code. */
+    /** Runs a command line and returns its exit code. */
     public static int run(String... args) {
-        CommandLine line = new CommandLine(new Commands());
-        line.setParameterExceptionHandler((wrong, words) -> {
-            CommandLine at = wrong.getCommandLine();
-            at.getErr().println("reedspring: " + wrong.getMessage());
-            at.usage(at.getErr());
-            return USAGE;
+        CommandLine commandLine = new CommandLine(new Commands());
+        commandLine.setParameterExceptionHandler((error, arguments) -> {
+            CommandLine failedCommand = error.getCommandLine();
+            failedCommand.getErr().println("reedspring: " + error.getMessage());
+            failedCommand.usage(failedCommand.getErr());
+            return EXIT_USAGE;
         });
-        line.setExecutionExceptionHandler((fault, at, parsed) -> {
-            at.getErr().println("reedspring: " + (fault.getMessage() == null ? fault : fault.getMessage()));
-            return fault instanceof SettingsException ? UNUSABLE : UNAVAILABLE;
+        commandLine.setExecutionExceptionHandler((fault, failedCommand, parsed) -> {
+            failedCommand.getErr().println("reedspring: "
+                    + (fault.getMessage() == null ? fault : fault.getMessage()));
+            return fault instanceof SettingsException ? EXIT_CONFIGURATION : EXIT_UNAVAILABLE;
         });
         if (args.length == 0) {
-            line.usage(line.getErr());
-            return USAGE;
+            commandLine.usage(commandLine.getErr());
+            return EXIT_USAGE;
         }
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 
     @Command(name = "serve", mixinStandardHelpOptions = true,
-            description = "Be one front on sockets, as the file named by RELAY_CONFIG says.")
+            description = "Run a front with the configuration file that RELAY_CONFIG names.")
     static final class Serve implements Callable<Integer> {
         @Option(names = "--settings", paramLabel = "FILE",
-                description = "what the installation switches on beyond that, as in deploy/reedspring.ini")
+                description = "settings of the installation's optional features, as in deploy/reedspring.ini")
         private Path settings;
 
         @Override
         public Integer call() throws SettingsException, InterruptedException {
-            // An ordinary exit would run the hook that SIGTERM runs.
+            // halt, as System.exit would run shutdown hooks.
             Runtime.getRuntime().halt(settings == null ? Startup.serve(System.getenv())
                     : Startup.serve(System.getenv(), StandingOrders.read(settings)));
             return 0;
@@ -69,7 +70,7 @@
     }
 
     @Command(name = "adapter", mixinStandardHelpOptions = true,
-            description = "Serve the simulator's wire on standard input and output.")
+            description = "Serve the simulator's protocol on standard input and output.")
     static final class Adapt implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
@@ -78,49 +79,47 @@
                 return 0;
             } catch (WireException e) {
                 System.err.println("reedspring: " + e.getMessage());
-                return BAD_INPUT;
+                return EXIT_BAD_INPUT;
             }
         }
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-
-            description = "Tell whether a settings file and a platform configuration can be used; start "
-                    + "nothing.")
+            description = "Validate a settings file and a platform configuration without starting "
+                    + "a front.")
     static final class Check implements Callable<Integer> {
-        @Option(names = "--settings", paramLabel = "FILE", description = "the installation's settings")
+        @Option(names = "--settings", paramLabel = "FILE", description = "the installation's settings file")
         private Path settings;
 
         @Option(names = "--config", paramLabel = "FILE",
-
-            description = "the platform's configuration (default: the file named by RELAY_CONFIG, if any)")
+            description = "the platform's configuration file (default: the value of RELAY_CONFIG, if set)")
         private String config;
 
         @Override
         public Integer call() {
-            String platform = config != null ? config : System.getenv("RELAY_CONFIG");
-            if (settings == null && platform == null) {
-                System.err.println("reedspring: nothing to check: --settings or --config is wanted");
-                return USAGE;
+            String configPath = config != null ? config : System.getenv("RELAY_CONFIG");
+            if (settings == null && configPath == null) {
+                System.err.println("reedspring: nothing to check: --settings or --config is required");
+                return EXIT_USAGE;
             }
-            boolean good = true;
+            boolean valid = true;
             if (settings != null) {
                 try {
                     StandingOrders.read(settings);
                 } catch (SettingsException e) {
                     e.faults().forEach(System.err::println);
-                    good = false;
+                    valid = false;
                 }
             }
-            String fault = platform == null ? null : Startup.fault(platform);
-            if (fault != null) {
-                System.err.println("configuration: " + fault);
-                good = false;
+            String configError = configPath == null ? null : Startup.configurationError(configPath);
+            if (configError != null) {
+                System.err.println("configuration: " + configError);
+                valid = false;
             }
-            if (good) {
+            if (valid) {
                 System.out.println("good");
             }
-            return good ? 0 : UNUSABLE;
+            return valid ? 0 : EXIT_CONFIGURATION;
         }
     }
 }
--- a/src/main/java/reedspring/cli/SpoolCommands.java
+++ b/src/main/java/reedspring/cli/SpoolCommands.java
@@ -14,24 +14,24 @@
 import reedspring.spool.store.FileDisk;
 import reedspring.spool.store.Survey;
 
-/** What operators ask of a spool's folder, beside a front that holds it or without one. */
+/** Commands that inspect and clear a spool directory, whether or not a front uses it. */
 @Command(name = "spool", mixinStandardHelpOptions = true,
-        description = "Look at a folder of kept answers, and clear it.",
+        description = "Inspect and clear a directory of kept answers.",
         subcommands = {SpoolCommands.Listing.class, SpoolCommands.Verify.class, SpoolCommands.Stat.class,
             SpoolCommands.Expire.class})
 final class SpoolCommands {
-    /** In which a time to come and the present are counted. */
-    private static final long TENTHS_A_MS = 10;
+    /** Times of the spool are in ticks; one tick is a tenth of a millisecond. */
+    private static final long TICKS_PER_MS = 10;
 
     private SpoolCommands() {
     }
 
-    private abstract static class OfFolder implements Callable<Integer> {
-        @Parameters(paramLabel = "DIR", description = "the folder that the settings name")
+    private abstract static class FolderCommand implements Callable<Integer> {
+        @Parameters(paramLabel = "DIR", description = "the directory that the settings name as folder")
         private Path folder;
 
         Survey survey(boolean pages) throws IOException {
-            // Nothing is changed, so that it may be looked at while a front holds it.
+            // Opened read-only, so that this works while a front holds the directory.
             try (FileDisk disk = new FileDisk(folder, false)) {
                 return Survey.of(disk, pages);
             }
@@ -42,30 +42,30 @@
         }
 
         static long now() {
-            return System.currentTimeMillis() * TENTHS_A_MS;
+            return System.currentTimeMillis() * TICKS_PER_MS;
         }
     }
 
     @Command(name = "list", mixinStandardHelpOptions = true,
-            description = "One line an answer: id, tenant, pages, bytes, end, segment.")
-    static final class Listing extends OfFolder {
+            description = "Print one line per answer: id, tenant, pages, bytes, expiry time, segment.")
+    static final class Listing extends FolderCommand {
         @Override
         public Integer call() throws IOException {
             Survey survey = survey(false);
             survey.answers().stream().sorted(Comparator.comparingLong(Survey.Answer::expiresAt))
-                    .forEach(a -> System.out.printf("%s %s %d %d %s %016x%s%n", a.id(), a.tenant(), a.pages(),
-                            a.bytes(), Instant.ofEpochMilli(a.expiresAt() / TENTHS_A_MS), a.segment(),
-                            a.expiresAt() <= now() ? " expired" : ""));
+                    .forEach(answer -> System.out.printf("%s %s %d %d %s %016x%s%n", answer.id(),
+                            answer.tenant(), answer.pages(), answer.bytes(),
+                            Instant.ofEpochMilli(answer.expiresAt() / TICKS_PER_MS), answer.segment(),
+                            answer.expiresAt() <= now() ? " expired" : ""));
             return 0;
         }
     }
 
     @Command(name = "verify", mixinStandardHelpOptions = true,
-
-            description = "Read every page. 65 if anything is not as it was written; a torn end that a "
-                    + "crash left "
-                    + "is named and is no fault.")
-    static final class Verify extends OfFolder {
+            description = "Read and verify every page. Exits with 65 if data is damaged; an incomplete "
+                    + "record at the end "
+                    + "of a segment, left by a crash, is reported but is no fault.")
+    static final class Verify extends FolderCommand {
         @Override
         public Integer call() throws IOException {
             Survey survey = survey(true);
@@ -73,13 +73,13 @@
             survey.faults().forEach(System.out::println);
             System.out.printf("%d segments, %d answers, %d pages read, %d faults%n", survey.segments().size(),
                     survey.answers().size(), survey.pagesRead(), survey.faults().size());
-            return survey.faults().isEmpty() ? 0 : Commands.BAD_INPUT;
+            return survey.faults().isEmpty() ? 0 : Commands.EXIT_BAD_INPUT;
         }
     }
 
     @Command(name = "stat", mixinStandardHelpOptions = true,
-            description = "Answers and bytes, in all and by tenant, and how much of the files is dead.")
-    static final class Stat extends OfFolder {
+            description = "Print answers and bytes, in total and by tenant, and the dead bytes in files.")
+    static final class Stat extends FolderCommand {
         @Override
         public Integer call() throws IOException {
             Survey survey = survey(false);
@@ -93,24 +93,21 @@
                 sums[2] += answer.expiresAt() <= now() ? 1 : 0;
             }
             System.out.printf("segments %d, bytes %d, of answers %d, dead %d%n", survey.segments().size(),
-                    files,
-                    live, Math.max(0, files - live));
+                    files, live, Math.max(0, files - live));
             tenants.forEach((tenant, sums) -> System.out.printf("%s answers %d, bytes %d, expired %d%n",
-                    tenant,
-                    sums[0], sums[1], sums[2]));
+                    tenant, sums[0], sums[1], sums[2]));
             survey.remarks().forEach(System.out::println);
             return 0;
         }
     }
 
     @Command(name = "expire", mixinStandardHelpOptions = true,
-
-            description = "Delete segments in which every answer has expired. The folder must not be "
-                    + "held by a "
-                    + "front, which does this itself.")
-    static final class Expire extends OfFolder {
+            description = "Delete segments in which every answer has expired. The directory must not "
+                    + "be held by a "
+                    + "front, which deletes them itself.")
+    static final class Expire extends FolderCommand {
         @Option(names = "--all",
-                description = "what has not expired, too: handles of it are worth nothing then")
+                description = "also delete answers that have not expired; their handles become invalid")
         private boolean all;
 
         @Override
--- a/src/main/java/reedspring/net/AcceptGuard.java
+++ b/src/main/java/reedspring/net/AcceptGuard.java
@@ -10,15 +10,16 @@
 import reedspring.core.policy.AcceptBackoff.Cause;
 
 /**
- * Stands between the listener and Netty's acceptor: keeps accepting after an accept that failed, where Netty
- * would stop for a second, and knows by when the connections that come had not come yet.
+ * A handler between the listener and Netty's acceptor. It keeps accepting after a failed accept, where Netty
+ * would pause for a second, and tracks a lower bound of the time at which an accepted connection arrived.
+ * Times are in ticks; one tick is a tenth of a millisecond.
  */
 final class AcceptGuard extends ChannelInboundHandlerAdapter {
-    /** Netty accepts so many in one pass. */
-    private static final int ACCEPTED_IN_A_PASS = 16;
-    /** An interrupted accept looks like an empty queue; two of them in a row are taken for one. */
+    /** Maximum number of connections that Netty accepts in one read loop. */
+    private static final int ACCEPTS_PER_PASS = 16;
+    /** An interrupted accept looks like an empty accept queue; two in a row are taken as empty. */
     private static final int EMPTY_PASSES = 2;
-    private static final int MOST_PASSES = 256;
+    private static final int MAX_PASSES = 256;
 
     private final Front front;
     private final AcceptBackoff backoff = new AcceptBackoff();
@@ -28,45 +29,48 @@
     private boolean failed;
     private boolean rests;
     private Channel listener;
-    /** The selector has told of a connection, so that it knows the listener. */
-    private boolean told;
-    private boolean lookingPastSelector;
-    private long seenEmptyAt;
+    /** The selector has reported a connection, which proves that the listener is registered. */
+    private boolean selectorReported;
+    private boolean acceptingWithoutSelector;
+    private long lastEmptyAt;
 
     AcceptGuard(Front front) {
         this.front = front;
     }
 
-    /** Whether connections may wait that could not be accepted yet. */
+    /** Whether accepting is paused after a failure, so that connections may be waiting. */
     boolean rests() {
         return rests;
     }
 
-    /** For the connection that is being accepted: it was not there before. In tenths of a millisecond. */
+    /** Lower bound of the arrival time of the connection that is being accepted, in ticks. */
     long earliestArrival() {
-        return lookingPastSelector ? arrival.earliestUntold(seenEmptyAt) : arrival.earliest();
+        return acceptingWithoutSelector ? arrival.earliestIfUnreported(lastEmptyAt) : arrival.earliest();
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         arrival = new ArrivalBound(front.turns(), front.clock(), front.clock().now());
         listener = ctx.channel();
-        seenEmptyAt = front.clock().now();
+        lastEmptyAt = front.clock().now();
     }
 
-    /** Accepts by itself while the selector has told of no connection: it may not know the listener. */
+    /**
+     * Accepts without the selector as long as that has reported no connection: the listener's registration
+     * may have failed.
+     */
     void tick() {
-        if (told || rests || listener == null || !listener.isActive()) {
+        if (selectorReported || rests || listener == null || !listener.isActive()) {
             return;
         }
         int before = accepted;
         long now = front.clock().now();
-        lookingPastSelector = true;
+        acceptingWithoutSelector = true;
         try {
             acceptAll(listener);
         } finally {
-            lookingPastSelector = false;
-            seenEmptyAt = now;
+            acceptingWithoutSelector = false;
+            lastEmptyAt = now;
         }
         if (accepted > before) {
             accepted = 0;
@@ -77,7 +81,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
         accepted++;
-        told |= !acceptingAll;
+        selectorReported |= !acceptingAll;
         backoff.succeeded();
         ctx.fireChannelRead(connection);
     }
@@ -85,40 +89,44 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!acceptingAll) {
-            boolean more = accepted >= ACCEPTED_IN_A_PASS;
+            boolean more = accepted >= ACCEPTS_PER_PASS;
             if (!rests && arrival.mayHaveWaited()) {
-                // The queue filled while the process stood still: until it is empty, all in it may be as old.
+                // The queue filled during a stall: until it is empty, any connection in it may be that old.
                 more = !acceptAll(ctx.channel());
             }
             if (more) {
-                arrival.notEmptied();
+                arrival.markNotEmptied();
             }
             accepted = 0;
         }
         ctx.fireChannelReadComplete();
     }
 
-    /** Accepts all that waits; false if accepts fail or there is no end to it. */
+    /**
+     * Accepts all waiting connections.
+     *
+     * @return false if an accept failed or the queue was not empty after the maximum number of passes
+     */
     private boolean acceptAll(Channel listener) {
-        if (!(listener.unsafe() instanceof AbstractNioChannel.NioUnsafe queue)) {
+        if (!(listener.unsafe() instanceof AbstractNioChannel.NioUnsafe acceptor)) {
             return false;
         }
         acceptingAll = true;
         failed = false;
         try {
-            int empty = 0;
-            for (int pass = 0; pass < MOST_PASSES && empty < EMPTY_PASSES && !failed; pass++) {
+            int emptyPasses = 0;
+            for (int pass = 0; pass < MAX_PASSES && emptyPasses < EMPTY_PASSES && !failed; pass++) {
                 int before = accepted;
-                queue.read();
-                empty = accepted == before ? empty + 1 : 0;
+                acceptor.read();
+                emptyPasses = accepted == before ? emptyPasses + 1 : 0;
             }
-            return empty == EMPTY_PASSES;
+            return emptyPasses == EMPTY_PASSES;
         } finally {
             acceptingAll = false;
         }
     }
 
-    /** Not passed on: Netty's acceptor would switch the listener off for a second. */
+    /** Not forwarded: Netty's acceptor would disable the listener for a second. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
@@ -126,41 +134,41 @@
             return;
         }
         failed = true;
-        arrival.notEmptied();
-        Cause why = causeOf(cause);
-        front.log().line("accept failed", why + ", " + cause.getMessage());
-        front.counters().add(why);
-        // One look can fail twice, and rests once.
-        long rest = rests ? 0 : backoff.failed(why);
-        if (rest > 0) {
+        arrival.markNotEmptied();
+        Cause failureCause = classify(cause);
+        front.log().line("accept failed", failureCause + ", " + cause.getMessage());
+        front.counters().add(failureCause);
+        // One pass can fail twice but pauses only once.
+        long delayTicks = rests ? 0 : backoff.failed(failureCause);
+        if (delayTicks > 0) {
             Channel listener = ctx.channel();
             rests = true;
             listener.config().setAutoRead(false);
-            front.timers().in(rest, () -> acceptAgain(listener));
+            front.timers().in(delayTicks, () -> acceptAgain(listener));
         }
     }
 
     private void acceptAgain(Channel listener) {
         rests = false;
-        // Nobody has polled it meanwhile.
-        arrival.notEmptied();
+        // The listener was not polled during the pause.
+        arrival.markNotEmptied();
         if (listener.isOpen()) {
             listener.config().setAutoRead(true);
         }
     }
 
-    /** By the system's words for the error, which is all that the JDK passes on. */
-    private static Cause causeOf(Throwable failure) {
-        String words = String.valueOf(failure.getMessage()).toLowerCase(Locale.ROOT);
-        if (words.contains("too many open files")) {
+    /** Classified by the system's error text, as the JDK passes no error number on. */
+    private static Cause classify(Throwable failure) {
+        String message = String.valueOf(failure.getMessage()).toLowerCase(Locale.ROOT);
+        if (message.contains("too many open files")) {
             return Cause.DESCRIPTORS;
         }
-        if (words.contains("no buffer space") || words.contains("cannot allocate memory")) {
+        if (message.contains("no buffer space") || message.contains("cannot allocate memory")) {
             return Cause.MEMORY;
         }
-        boolean ofTheNetwork = words.contains("aborted") || words.contains("unreachable")
-                || words.contains("protocol") || words.contains("network is down")
-                || words.contains("host is down") || words.contains("not supported");
-        return ofTheNetwork ? Cause.CONNECTION : Cause.OTHER;
+        boolean networkError = message.contains("aborted") || message.contains("unreachable")
+                || message.contains("protocol") || message.contains("network is down")
+                || message.contains("host is down") || message.contains("not supported");
+        return networkError ? Cause.CONNECTION : Cause.OTHER;
     }
 }
--- a/src/main/java/reedspring/net/ArrivalBound.java
+++ b/src/main/java/reedspring/net/ArrivalBound.java
@@ -1,56 +1,60 @@
 package reedspring.net;
 
 /**
- * The last moment at which a socket is known to have been empty, so that what is read from it now came after
- * that. It bounds the arrival of what lay unread while the loop or the whole process stood still.
+ * The latest time at which a socket is known to have been empty, which is a lower bound of the arrival time
+ * of data that is read from it now. It holds for data that lay unread during a stall of the loop or the whole
+ * process, too. Times are in ticks; one tick is a tenth of a millisecond.
  *
- * <p>The selector is the witness: a socket that a poll does not report was empty at some moment after that
- * poll began, and so was one that was read until it gave less than was asked for. No time that is taken
- * after a poll proves as much, as the process may have been stopped between the two.
+ * <p>The bound comes from the selector: a socket that a poll does not report was empty at some time after the
+ * start of that poll, and so was a socket whose read returned less than requested. A time taken after a poll
+ * proves nothing, as the process may have been stopped between the two.
  */
 final class ArrivalBound {
-    /** What is read within that time of its bound needs no closer look, in tenths of a millisecond. */
-    private static final long CLOSE_ENOUGH = 100;
+    /** A bound that is no older than this, in ticks, is accurate enough. */
+    private static final long CLOSE_ENOUGH_TICKS = 100;
 
     private final Turns turns;
     private final Clock clock;
     private long emptyAt;
-    /** The latest turn after which nothing shows that the socket was emptied in it. */
+    /** The latest turn of the loop in which the socket is not known to have been emptied. */
     private long unprovenTurn;
 
-    /** @param emptyAt a moment at which the socket was empty, or not there; in tenths of a millisecond */
+    /** @param emptyAt a time in ticks at which the socket was empty or did not exist */
     ArrivalBound(Turns turns, Clock clock, long emptyAt) {
         this.turns = turns;
         this.clock = clock;
         this.emptyAt = emptyAt;
-        this.unprovenTurn = turns.number();
+        this.unprovenTurn = turns.turnNumber();
     }
 
     /**
-     * The same where the selector has told of nothing at the socket so far: it may not know it, and then its
-     * polls prove nothing.
+     * The lower bound for a socket of which the selector has reported nothing yet: its registration may have
+     * failed, and then polls prove nothing.
      *
-     * @param seenEmptyAt when a look past the selector last found the socket empty
+     * @param lastEmptyAt when a read without the selector last found the socket empty
      */
-    long earliestUntold(long seenEmptyAt) {
-        return Math.min(earliest(), seenEmptyAt);
+    long earliestIfUnreported(long lastEmptyAt) {
+        return Math.min(earliest(), lastEmptyAt);
     }
 
-    /** For what is read in this turn: it came then at the earliest. In tenths of a millisecond. */
+    /** Lower bound of the arrival time of data that is read in this turn, in ticks. */
     long earliest() {
-        if (unprovenTurn < turns.number() - 1) {
-            emptyAt = Math.max(emptyAt, clock.at(turns.previousPollBegan()));
+        if (unprovenTurn < turns.turnNumber() - 1) {
+            emptyAt = Math.max(emptyAt, clock.at(turns.previousPollStartNanos()));
         }
         return emptyAt;
     }
 
-    /** Whether what is read now may have waited for so long that it matters whether more lies behind it. */
+    /**
+     * Whether data that is read now may have waited so long that all data in the socket has to be read before
+     * a decision.
+     */
     boolean mayHaveWaited() {
-        return clock.now() - earliest() > CLOSE_ENOUGH;
+        return clock.now() - earliest() > CLOSE_ENOUGH_TICKS;
     }
 
-    /** More may lie in the socket than was read in this turn. */
-    void notEmptied() {
-        unprovenTurn = turns.number();
+    /** Notes that the socket may hold more data than was read in this turn. */
+    void markNotEmptied() {
+        unprovenTurn = turns.turnNumber();
     }
 }
--- a/src/main/java/reedspring/net/Clock.java
+++ b/src/main/java/reedspring/net/Clock.java
@@ -5,43 +5,48 @@
 import reedspring.core.policy.EngineStartTime;
 
 /**
- * Unix time in tenths of a millisecond as it stood at the start, carried on by the steady clock: a jump of
- * the system's clock must move no deadline and no span.
+ * Unix time at start, advanced by the monotonic clock, so that a jump of the system clock changes no deadline
+ * and no duration. In ticks; one tick is a tenth of a millisecond.
  */
 final class Clock {
-    private static final long NANOS = 100_000;
-    private final LongSupplier unix;
-    private final LongSupplier steadyNanos;
-    private final long startedAt;
-    private final long steadyAt;
+    private static final long NANOS_PER_TICK = 100_000;
+    private final LongSupplier unixTicks;
+    private final LongSupplier monotonicNanos;
+    private final long unixAtStart;
+    private final long monotonicAtStart;
 
     Clock() {
-        this(Clock::systemTenths, System::nanoTime);
+        this(Clock::systemTicks, System::nanoTime);
     }
 
-    Clock(LongSupplier unixTenths, LongSupplier steadyNanos) {
-        this.unix = unixTenths;
-        this.steadyNanos = steadyNanos;
-        this.startedAt = unixTenths.getAsLong();
-        this.steadyAt = steadyNanos.getAsLong();
+    Clock(LongSupplier unixTicks, LongSupplier monotonicNanos) {
+        this.unixTicks = unixTicks;
+        this.monotonicNanos = monotonicNanos;
+        this.unixAtStart = unixTicks.getAsLong();
+        this.monotonicAtStart = monotonicNanos.getAsLong();
     }
 
+    /** The current time, in ticks. */
     long now() {
-        return at(steadyNanos.getAsLong());
+        return at(monotonicNanos.getAsLong());
     }
 
-    /** The same of a moment of the steady clock. */
+    /** The time in ticks of an instant of the monotonic clock. */
     long at(long nanos) {
-        return startedAt + (nanos - steadyAt) / NANOS;
+        return unixAtStart + (nanos - monotonicAtStart) / NANOS_PER_TICK;
     }
 
-    /** When an engine started whose start another machine names by the system's clock; 0 for long ago. */
+    /**
+     * The start time of an engine, in ticks, as reported by another machine's system clock.
+     *
+     * @param ms 0 or less if the engine started long ago
+     */
     long ofUnixMs(long ms) {
-        return ms <= 0 ? 0 : EngineStartTime.estimate(ms * 10, now(), unix.getAsLong());
+        return ms <= 0 ? 0 : EngineStartTime.estimate(ms * 10, now(), unixTicks.getAsLong());
     }
 
-    private static long systemTenths() {
+    private static long systemTicks() {
         Instant instant = Instant.now();
-        return instant.getEpochSecond() * 10_000 + instant.getNano() / NANOS;
+        return instant.getEpochSecond() * 10_000 + instant.getNano() / NANOS_PER_TICK;
     }
 }
--- a/src/main/java/reedspring/net/Counters.java
+++ b/src/main/java/reedspring/net/Counters.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * How often what has been done and for which reason, since the front's start: answers, ends of attempts,
- * refusals, ends of connections. Each reason is a constant of a typed enumeration, and its line in the log
- * names both. docs/on-call.md says what each means.
+ * Event counters since the front's start: answers, ends of submissions, refused requests, closed connections,
+ * each by reason. A reason is an enumeration constant, and the log names it with its enumeration. See
+ * docs/on-call.md for the meaning of each.
  */
 final class Counters {
     private final Map<Enum<?>, long[]> counts = new LinkedHashMap<>();
@@ -22,7 +22,7 @@
         return count == null ? 0 : count[0];
     }
 
-    /** All counts, or null if none has changed since they were told last. */
+    /** All counts as {@code Enum.CONSTANT=count}, or null if none has changed since the last call. */
     String changes() {
         if (!changed) {
             return null;
--- a/src/main/java/reedspring/net/FrontServerSocketChannel.java
+++ b/src/main/java/reedspring/net/FrontServerSocketChannel.java
@@ -4,7 +4,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** The listener: its connections are {@link FrontSocketChannel}s. */
+/** The listener, which accepts connections as {@link FrontSocketChannel}s. */
 final class FrontServerSocketChannel extends NioServerSocketChannel {
     @Override
     protected int doReadMessages(List<Object> connections) throws Exception {
--- a/src/main/java/reedspring/net/Installation.java
+++ b/src/main/java/reedspring/net/Installation.java
@@ -5,24 +5,24 @@
 import reedspring.boot.BootException;
 import reedspring.settings.StandingOrders;
 
-/** Brings up what an installation's settings switch on, on the front's loop. */
-final class Installation implements Startup.Additions {
-    private final StandingOrders orders;
+/** Starts the optional features that an installation's settings enable, on the front's loop. */
+final class Installation implements Startup.OptionalFeatures {
+    private final StandingOrders settings;
 
-    Installation(StandingOrders orders) {
-        this.orders = orders;
+    Installation(StandingOrders settings) {
+        this.settings = settings;
     }
 
     @Override
     public Log.JsonLines jsonLines() {
-        return orders.jsonLog() ? new JsonLog() : null;
+        return settings.jsonLog() ? new JsonLog() : null;
     }
 
     @Override
-    public void join(Front front, EventLoop loop, String name) throws BootException {
-        if (orders.spool() != null) {
+    public void install(Front front, EventLoop loop, String name) throws BootException {
+        if (settings.spool() != null) {
             try {
-                front.keepsAnswers(new KeptAnswers(front, loop, name, orders.spool()));
+                front.keepsAnswers(new KeptAnswers(front, loop, name, settings.spool()));
             } catch (IOException e) {
                 throw new BootException("[spool] folder", String.valueOf(e.getMessage()));
             }
--- a/src/main/java/reedspring/net/JsonLog.java
+++ b/src/main/java/reedspring/net/JsonLog.java
@@ -9,20 +9,21 @@
 import org.tinylog.configuration.Configuration;
 
 /**
- * One JSON object a line: {@code at}, {@code level}, {@code event}, and where there is one {@code detail}.
+ * Formats a log line as a JSON object with {@code at}, {@code level} and {@code event}, {@code detail} if the
+ * line has one, and {@code more} for the number of suppressed lines.
  */
 final class JsonLog implements Log.JsonLines {
     private final JsonFactory json = new JsonFactory();
 
-    /** Has to be made before the first line is written: from then on the format stands. */
+    /** Must be created before the first line is logged: tinylog fixes its format then. */
     JsonLog() {
         Configuration.set("writer.format", "{message}");
     }
 
     @Override
     public String line(String level, String event, String detail, int more) {
-        StringWriter out = new StringWriter();
-        try (JsonGenerator line = json.createGenerator(out)) {
+        StringWriter buffer = new StringWriter();
+        try (JsonGenerator line = json.createGenerator(buffer)) {
             line.writeStartObject();
             line.writeStringField("at", Instant.now().toString());
             line.writeStringField("level", level);
@@ -37,6 +38,6 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return out.toString();
+        return buffer.toString();
     }
 }
--- a/src/main/java/reedspring/net/Limits.java
+++ b/src/main/java/reedspring/net/Limits.java
@@ -5,66 +5,71 @@
 import reedspring.boot.BootException;
 
 /**
- * All sizes, counts and times that bound what the front holds, filled once at start and handed down. Times
- * are milliseconds, sizes bytes. None of them is a decision: where one is met, a query is turned away unseen
- * or a connection goes.
+ * All limits on the front's resources, computed once at start. Times are in milliseconds, sizes in bytes.
+ * They are independent of the decisions about queries: at a limit, a request is refused before any decision
+ * on it, or a connection is closed.
  */
 final class Limits {
     /**
-     * Files of the JVM and its libraries, log, loop and listener, three calls to the journal service, the
-     * configuration's file and some to spare; 29 are open on a front at rest.
+     * Descriptors of the process itself: files of the JVM and its libraries, log, event loop, listener, three
+     * connections to the journal service, the configuration file, and a reserve. An idle front has 29 open.
      */
-    private static final int OWN_DESCRIPTORS = 41;
+    private static final int RESERVED_DESCRIPTORS = 41;
 
-    // Clients. They may hold a third of the descriptors; the rest of the half is for those that overlap.
+    // Clients. They may hold a third of the descriptors; the rest of the half is for overlapping connections.
     final int clientConnections;
     final int clientQueries = 32;
-    /** Answers that a client leaves unread before it is cut off; no client can wait for so many. */
+    /** Unread answers at which a client is disconnected; no client can be waiting for that many. */
     final int clientUnread = 4 * clientQueries;
-    /** For which a connection whose write side is shut is read on, so that what crosses resets nothing. */
+    /** How long a half-closed connection is still read, so that data in transit doesn't cause a reset. */
     final int clientLinger = 1_000;
-    /** Connections in that state; past this the eldest of them is closed at once. */
+    /** Maximum number of half-closed connections; above it the oldest is closed at once. */
     final int lingering;
+    /** Time after which an idle client is disconnected. */
     final int clientIdle = 60_000;
-    /** Looks after which a client that has sent nothing of use, or has not ended a message, has to go. */
+    /** Ticks after which a client that has sent no usable or no complete message is disconnected. */
     final int silentTicks = 8;
-    /** Looks after which a client that has sent nothing yet goes before the others if there is no room. */
+    /** Ticks after which a client that has sent nothing is the first to be closed at the connection limit. */
     final int chanceTicks = 2;
+    /**
+     * Ticks after which an unfinished message closes its connection: ticks without progress for a client that
+     * has been served, ticks in all for another.
+     */
     final int unfinishedTicks = 5;
-    /** The same for one that has been served and goes on writing, however slowly: ten seconds. */
+    /** Limit for an unfinished message of a client that has been served and keeps writing slowly: 10 s. */
     final int slowTicks = 40;
-    /** After which a client that has taken nothing of what waits for it is cut off. */
+    /** Time after which a client that reads none of its pending answers is disconnected. */
     final int clientStall = 10_000;
     final int messageBytes = 1 << 18;
     final int messageValues = 256;
-    /** An unfinished message up to this size may come even where there is no room. */
+    /** An unfinished message up to this size is accepted even when {@link #heldBytes} is used up. */
     final int smallMessage = 4096;
-    /** What waits for one client before it is not read from. */
+    /** Unsent bytes for one client at which reading from it is paused. */
     final int unsentBytes = 1 << 16;
-    /** What the kernel may hold for one client each way: that counts against the front's memory, too. */
+    /** Kernel buffer of one client in each direction; it counts towards the front's memory limit, too. */
     final int socketBytes = 1 << 16;
-    /** What is read at once, at first and at most. */
+    /** Initial and maximum size of a read buffer. */
     final int firstRead = 2048;
     final int largestRead = 16_384;
 
-    // All queries, and what is held for them: statements, unfinished messages, answers.
+    // All queries and the memory held for them: statements, unfinished messages, answers.
     final int queries = 2048;
-    /** Traces of queries that are known to have been taken; some 60 bytes each, twice as many at the most. */
+    /** Traces of accepted queries that are remembered; some 60 bytes each, up to twice as many are held. */
     final int recentTraces = 8192;
     final long heldBytes;
     final int answerBytes = 48_000;
-    /** Figures of a query past these can't be meant, and what can't be meant is not decided on. */
+    /** A request with values above these is refused as implausible, before any decision on it. */
     final double longestPatience;
     final double largestEstimate = 1e9;
-    /** Past a query's time before the front answers for the decisions; the rules allow a little more. */
+    /** Time after a query's deadline at which the front answers if no decision did; the rules allow more. */
     final int lastResort = 10;
-    /** Past a query's time after which its answer is told of as late; the rules allow so much more. */
+    /** How long after a query's deadline its answer is logged as late; the rules allow as much. */
     final int lateAnswer = 50;
-    /** After a client's end in which a submission of its may still begin, by the rules. */
+    /** How long after a client has disconnected a submission for it may still begin, by the rules. */
     final int sentToGone = 100;
-    /** Late and unanswered queries that are told of one by one in a span; the rest are counted. */
+    /** Late or unanswered queries that are logged one by one in a log interval; the rest are counted. */
     final int missesNamed = 8;
-    /** The time that clients are named with a refusal, as the deployment has it. */
+    /** The delay before a retry that refused clients are told, from the deployment; 0 for none. */
     final int comeBack;
 
     // Engines.
@@ -77,86 +82,88 @@
     final int connectionQueries;
     final int connectTimeout;
     final int engineIdle;
-    /** After which a connection that owes answers is asked whether it works. */
+    /** Silence after which a connection with outstanding answers is probed. */
     final int engineSilence = 1_000;
-    /** Submissions on one connection before another is dialled. */
+    /** Concurrent submissions on a connection at which another one is opened. */
     final int sharedBy = 4;
-    /** Looks for which an answer may stand begun before its connection is given up. */
+    /** Ticks for which an incomplete answer may make no progress before its connection is closed. */
     final int partTicks = 2;
 
-    // The journal service. It says something each second, and counts as having told what it has 2 s after a
-    // break and 4 s after a stop.
+    // The journal service. It sends something every second. It is assumed to have delivered its news 2 s
+    // after a broken connection, and 4 s after a stop.
     final int journalSilence = 1_800;
     final int journalConnect = 1_000;
     final int journalFirstWait = 50;
     final int journalLongestWait = 500;
-    /** Of an event. A list of all engines is one. */
+    /** Maximum size of an event; a list of all engines is a single event. */
     final int journalBytes;
-    /** Of a line that goes on: so many are a sign of life, as a whole line is. Less is no pace of a list. */
+    /** Bytes of an unfinished line that count as activity, as a whole line does; fewer are too slow. */
     final int journalPart = 4096;
-    /** Engines that are held at a time. */
+    /** Maximum number of known engines. */
     final int engines;
-    /** After which the journal's socket is looked at again before anything is decided or sent. */
+    /** Age of the last read of the journal's socket at which it is read again before a decision or a send. */
     final int newsAge = 10;
-    /** An alarm that is later than this shows that the loop stood still. */
+    /** A timer that is later than this shows a stall of the event loop. */
     final int stoodStill = 50;
 
-    // The end. SIGKILL comes 0.7 s past the longest queue timeout, which counts as 3 s where it is longer.
-    // New connections come for 0.4 s after SIGTERM, requests on open ones for as long as they are open.
-    private static final int LONGEST_TIMEOUT_WHILE_LEAVING = 3_000;
-    private static final int KILLED_AFTER_TIMEOUT = 700;
-    /** Before SIGKILL: for the last answers to go out, for clients to read them, for the process to end. */
-    private static final int ANSWERED_BEFORE_KILL = 450;
-    private static final int SHUT_BEFORE_KILL = 350;
-    private static final int GONE_BEFORE_KILL = 200;
-    private static final int USUAL_LEAVING_QUIET = 800;
-    /** Since SIGTERM: until then connections stay open, also where nothing is out. */
+    // Shutdown. After SIGTERM, SIGKILL follows 0.7 s after the longest queue timeout, which is counted as 3 s
+    // at most. New connections arrive for 0.4 s after SIGTERM, requests on open ones until they are closed.
+    private static final int MAX_COUNTED_QUEUE_TIMEOUT_MS = 3_000;
+    private static final int KILL_AFTER_QUEUE_TIMEOUT_MS = 700;
+    /** Reserves before SIGKILL: to send the last answers, for clients to read them, to end the process. */
+    private static final int ANSWERED_BEFORE_KILL_MS = 450;
+    private static final int CLOSED_BEFORE_KILL_MS = 350;
+    private static final int EXIT_BEFORE_KILL_MS = 200;
+    private static final int DEFAULT_QUIET_MS = 800;
+    /** Time since SIGTERM for which connections stay open even if no query is held. */
     final int leavingQuiet;
-    /** Since SIGTERM: by then all that was taken is answered. */
+    /** Time since SIGTERM by which all accepted requests are answered. */
     final int leavingLongest;
-    /** Since SIGTERM: by then clients have had their time to read their last answers. */
+    /** Time since SIGTERM at which waiting for clients to read their last answers ends. */
     final int leavingGone;
-    /** What clients have for that at the most. */
+    /** How long the front waits for clients to close after they have read their last answers. */
     final int leavingFlush = 300;
 
-    /** Between two looks at all connections. */
+    /** Interval of the periodic check of all connections; the limits in ticks above count these. */
     final int tick = 250;
     final int logEvery = 10_000;
     final int logKinds = 64;
     final int logLine = 200;
-    /** What one turn of the loop has for a connection goes out in one write, up to so many messages. */
+    /** Messages to a connection in one turn of the loop that are combined into one write at most. */
     final int flushes = 256;
 
     Limits(Boot boot, int sockets, long memoryMb) throws BootException {
-        // A twelfth of the memory. Buffers have a quarter and grow by doubling: a tenth, doubled, left too
-        // little for reads and what lies between, and four floods in eight met the end of direct memory.
+        // A twelfth of the memory. Direct buffers have a quarter and grow by doubling. With a tenth, doubled,
+        // too little was left for reads and copies: 4 of 8 overload runs exhausted direct memory.
         heldBytes = (memoryMb << 20) / 12;
-        // The heap is seven parts in 24. While a list is read, its text is held twice as the buffer grows;
-        // each of its engines is reckoned at 1.3 kB here, in the decisions and in the list before. By 160
-        // bytes of text for each that is some ten times the text, most of the heap with a forty-eighth of
-        // the memory: 25,000 engines with 192 MB.
+        // The heap is 7/24 of the memory. While a list is read, its text is held twice as the buffer grows,
+        // and each engine takes an estimated 1.3 kB in this package, the decisions and the previous list. At
+        // 160 bytes of text for each engine the total is about ten times the text. A limit of 1/48 of the
+        // memory thus uses most of the heap: 25,000 engines with 192 MB.
         journalBytes = (int) Math.min(1 << 29, (memoryMb << 20) / 48);
         engines = journalBytes / 160;
-        // What remains after the process's own stands open to clients, who come in any number, to engines and
-        // to connections that end. Their sum stays under the limit, so that a call to the journal service is
-        // always possible: idle clients may fill their part for as long as discovery is down.
-        int free = sockets - OWN_DESCRIPTORS;
-        lingering = Math.max(1, free / 16);
-        allEngineConnections = Math.max(4, Math.min(sockets / 4, free / 3));
+        // The descriptors besides the reserve are divided among clients, engines and half-closed connections.
+        // Their sum stays below the limit, so that the journal service can always be reached, even if idle
+        // clients use up their part while discovery is down.
+        int available = sockets - RESERVED_DESCRIPTORS;
+        lingering = Math.max(1, available / 16);
+        allEngineConnections = Math.max(4, Math.min(sockets / 4, available / 3));
         engineConnections = Math.max(1, Math.min(8, sockets / 64));
-        clientConnections = Math.min(sockets / 2, free - allEngineConnections - lingering);
+        clientConnections = Math.min(sockets / 2, available - allEngineConnections - lingering);
         connectionQueries = Math.max(1, (int) boot.number("allowed.multiplex", 32));
         connectTimeout = Math.max(1, (int) boot.number("allowed.connectTimeoutMs", 1_000));
-        // The engine closes at the full time; a submission that crossed that would have an unclear end.
+        // The engine closes idle connections at the full time; the outcome of a submission sent in the same
+        // moment would be unknown.
         engineIdle = (int) (boot.number("allowed.idleCloseMs", 30_000) * 0.8);
-        double longest = boot.longestTimeout();
-        longestPatience = longest > 0 ? 2 * longest : 1e9;
-        int timeout = longest > 0 ? (int) Math.min(longest, LONGEST_TIMEOUT_WHILE_LEAVING)
-                : LONGEST_TIMEOUT_WHILE_LEAVING;
-        int killed = timeout + KILLED_AFTER_TIMEOUT;
-        leavingQuiet = Math.min(USUAL_LEAVING_QUIET, killed - SHUT_BEFORE_KILL);
-        leavingLongest = killed - ANSWERED_BEFORE_KILL;
-        leavingGone = killed - GONE_BEFORE_KILL;
+        double longestQueueTimeoutMs = boot.longestTimeout();
+        longestPatience = longestQueueTimeoutMs > 0 ? 2 * longestQueueTimeoutMs : 1e9;
+        int countedQueueTimeoutMs = longestQueueTimeoutMs > 0
+                ? (int) Math.min(longestQueueTimeoutMs, MAX_COUNTED_QUEUE_TIMEOUT_MS)
+                : MAX_COUNTED_QUEUE_TIMEOUT_MS;
+        int killAtMs = countedQueueTimeoutMs + KILL_AFTER_QUEUE_TIMEOUT_MS;
+        leavingQuiet = Math.min(DEFAULT_QUIET_MS, killAtMs - CLOSED_BEFORE_KILL_MS);
+        leavingLongest = killAtMs - ANSWERED_BEFORE_KILL_MS;
+        leavingGone = killAtMs - EXIT_BEFORE_KILL_MS;
         Deployment.Allowed allowed = boot.deployment().allowed();
         comeBack = allowed.comeBack() ? (int) (allowed.longestComeBack() / 10) : 0;
     }
--- a/src/main/java/reedspring/net/Log.java
+++ b/src/main/java/reedspring/net/Log.java
@@ -5,18 +5,19 @@
 import org.tinylog.Logger;
 
 /**
- * The front's log. Of each kind of line one is written in a span; the rest are counted and summed up. A line
- * has an event, which docs/on-call.md names, and mostly a detail; an installation may have them as JSON
- * objects.
+ * The front's log, with a rate limit: in each interval, the first line of each kind is written, and the rest
+ * are counted and summarised at the end of the interval. A line has an event, which docs/on-call.md explains,
+ * and usually a detail; an installation may have lines as JSON objects.
  */
 final class Log {
     private final Limits limits;
     private final JsonLines json;
-    private final Map<String, int[]> seen = new LinkedHashMap<>();
+    private final Map<String, int[]> countsByKind = new LinkedHashMap<>();
     private long spentNanos;
 
-    /** What writes lines as JSON objects; not loaded where nobody wants them. */
+    /** Formats lines as JSON objects; the implementation is loaded only if the settings enable it. */
     interface JsonLines {
+        /** @param more number of suppressed lines of the same kind, or 0 */
         String line(String level, String event, String detail, int more);
     }
 
@@ -26,29 +27,30 @@
         this.json = json;
     }
 
-    /** Time that its lines took from those who wrote them, since the start; for {@link StallProbe}. */
+    /** Total time that callers spent in writing lines, in nanoseconds; for {@link StallProbe}. */
     long spentNanos() {
         return spentNanos;
     }
 
-    /** A line that comes once in a front's life. */
+    /** Writes a line of level info, without a rate limit: for events that occur once in a front's life. */
     void once(String event, String detail) {
         long began = System.nanoTime();
         Logger.info(json != null ? json.line("info", event, detail, 0) : joined(event, " ", detail));
         spentNanos += System.nanoTime() - began;
     }
 
+    /** Writes a warning; its event is its kind. */
     void line(String event, String detail) {
         line(event, event, detail);
     }
 
-    /** A line whose text tells its kind by itself; where lines are objects, its event is named apart. */
+    /** Writes a warning whose text is its kind; the event is written in JSON lines only. */
     void remark(String event, String text) {
         line(text, json == null ? text : event, json == null ? "" : text);
     }
 
     private void line(String kind, String event, String detail) {
-        if (count(kind)[0]++ == 0) {
+        if (counterOf(kind)[0]++ == 0) {
             long began = System.nanoTime();
             Logger.warn(json != null ? json.line("warn", event, printable(detail), 0)
                     : joined(event, ": ", printable(detail)));
@@ -56,15 +58,16 @@
         }
     }
 
-    private static String joined(String event, String by, String detail) {
-        return detail.isEmpty() ? event : event + by + detail;
+    private static String joined(String event, String separator, String detail) {
+        return detail.isEmpty() ? event : event + separator + detail;
     }
 
+    /** Writes an error with its stack trace. */
     void fault(String kind, Throwable cause) {
-        if (count(kind)[0]++ == 0) {
+        if (counterOf(kind)[0]++ == 0) {
             long began = System.nanoTime();
             if (json != null) {
-                Logger.error(json.line("error", kind, trace(cause), 0));
+                Logger.error(json.line("error", kind, stackTrace(cause), 0));
             } else {
                 Logger.error(cause, kind);
             }
@@ -72,24 +75,24 @@
         }
     }
 
-    private static String trace(Throwable cause) {
+    private static String stackTrace(Throwable cause) {
         StringBuilder text = new StringBuilder(cause.toString());
-        for (StackTraceElement at : cause.getStackTrace()) {
-            text.append("\n at ").append(at);
+        for (StackTraceElement frame : cause.getStackTrace()) {
+            text.append("\n at ").append(frame);
         }
         return text.toString();
     }
 
-    /** Kinds name engines, too, so that their number has to be bounded as well. */
-    private int[] count(String kind) {
-        boolean known = seen.size() < limits.logKinds || seen.containsKey(kind);
-        return seen.computeIfAbsent(known ? kind : "lines of other kinds", k -> new int[1]);
+    /** The number of kinds is bounded as well, as kinds contain names of engines. */
+    private int[] counterOf(String kind) {
+        boolean tracked = countsByKind.size() < limits.logKinds || countsByKind.containsKey(kind);
+        return countsByKind.computeIfAbsent(tracked ? kind : "lines of other kinds", k -> new int[1]);
     }
 
-    /** Ends a span. */
+    /** Ends an interval: writes a summary of the suppressed lines and resets all counts. */
     void sum() {
         long began = System.nanoTime();
-        seen.forEach((kind, count) -> {
+        countsByKind.forEach((kind, count) -> {
             if (count[0] > 1) {
                 if (json != null) {
                     Logger.warn(json.line("warn", kind, "", count[0] - 1));
@@ -98,11 +101,11 @@
                 }
             }
         });
-        seen.clear();
+        countsByKind.clear();
         spentNanos += System.nanoTime() - began;
     }
 
-    /** What others send must not forge lines or fill the log. */
+    /** Truncates and escapes text that comes from peers, which must not forge lines or fill the log. */
     private String printable(String text) {
         return text.substring(0, Math.min(limits.logLine, text.length())).replaceAll("[^\\x20-\\x7e]", "?");
     }
--- a/src/main/java/reedspring/net/ProcessSignals.java
+++ b/src/main/java/reedspring/net/ProcessSignals.java
@@ -8,34 +8,33 @@
 import sun.misc.SignalHandler;
 
 /**
- * The signals that the process heeds. The JDK starts a thread for each signal that comes: signals in series
- * take memory for thousands of threads, and where the system gives no more threads, SIGTERM is never heard.
- * So handlers run on the JVM's signal dispatcher, a thread that stands from the start; they must return at
- * once.
+ * The signal handlers of the process. The JDK starts a thread for each signal: a burst of signals takes the
+ * memory of thousands of threads, and if the system can't create a thread, SIGTERM is lost. Here handlers run
+ * on the JVM's signal dispatcher thread, which exists from the start; they must return at once.
  *
- * <p>There is no interface for that. The dispatcher looks handlers up in a table of {@code
- * jdk.internal.misc.Signal}, which is replaced by one whose look-up runs the handler and finds none; the
- * program's manifest opens the package. Where that fails, the JDK's way stays.
+ * <p>The JDK has no API for that. The dispatcher looks handlers up in a table of {@code
+ * jdk.internal.misc.Signal}, which is replaced by a table whose look-up runs the handler and returns null;
+ * the program's manifest opens the package. If the replacement fails, the JDK's behaviour stays.
  */
 final class ProcessSignals {
-    private static final String OF_THE_JDK = "jdk.internal.misc.Signal";
-    private static final String TABLE = "handlers";
+    private static final String JDK_SIGNAL_CLASS = "jdk.internal.misc.Signal";
+    private static final String HANDLERS_FIELD = "handlers";
 
     private final Map<String, Runnable> handlers = new ConcurrentHashMap<>();
 
-    /** A table of handlers that runs those of this process at their look-up, and holds the others. */
-    private static final class Dispatched extends Hashtable<Object, Object> {
+    /** A handler table that runs the handlers of this class on look-up, and holds all others. */
+    private static final class DispatchingTable extends Hashtable<Object, Object> {
         private static final long serialVersionUID = 1L;
-        private final transient Map<String, Runnable> direct;
+        private final transient Map<String, Runnable> ownHandlers;
 
-        Dispatched(Map<?, ?> others, Map<String, Runnable> direct) {
-            this.direct = direct;
-            putAll(others);
+        DispatchingTable(Map<?, ?> jdkHandlers, Map<String, Runnable> ownHandlers) {
+            this.ownHandlers = ownHandlers;
+            putAll(jdkHandlers);
         }
 
         @Override
         public Object get(Object signal) {
-            Runnable handler = direct.get(signal.toString());
+            Runnable handler = ownHandlers.get(signal.toString());
             if (handler == null) {
                 return super.get(signal);
             }
@@ -45,22 +44,26 @@
     }
 
     /**
-     * Has a signal run the handler.
+     * Installs a handler for a signal.
      *
-     * @param name without SIG
-     * @return false if what started the process has it ignored, which the JVM leaves so
+     * @param name without the prefix SIG
+     * @return false if the signal was ignored when the process was started, which the JVM does not change
      */
     boolean handle(String name, Runnable handler) {
         handlers.put("SIG" + name, handler);
         return Signal.handle(new Signal(name), signal -> handler.run()) != SignalHandler.SIG_IGN;
     }
 
-    /** From now on no signal takes a new thread; false if this JVM does not let that be done. */
+    /**
+     * Runs the handlers on the dispatcher thread from now on.
+     *
+     * @return false if this JVM does not allow replacing the table
+     */
     boolean dispatchWithoutThreads() {
         try {
-            Field table = Class.forName(OF_THE_JDK).getDeclaredField(TABLE);
+            Field table = Class.forName(JDK_SIGNAL_CLASS).getDeclaredField(HANDLERS_FIELD);
             table.setAccessible(true);
-            table.set(null, new Dispatched((Map<?, ?>) table.get(null), handlers));
+            table.set(null, new DispatchingTable((Map<?, ?>) table.get(null), handlers));
             return true;
         } catch (ReflectiveOperationException | RuntimeException e) {
             return false;
--- a/src/main/java/reedspring/net/Registration.java
+++ b/src/main/java/reedspring/net/Registration.java
@@ -3,14 +3,14 @@
 import io.netty.channel.Channel;
 
 /**
- * Registers a socket with the selector anew. epoll_ctl can fail for want of memory, and the JDK passes over
- * its result: it takes the socket for registered, and nothing that comes there is ever told.
+ * Registers a socket with the selector again. epoll_ctl can fail for lack of memory, and the JDK ignores its
+ * result: it treats the socket as registered, and no event of it is ever reported.
  */
 final class Registration {
     private Registration() {
     }
 
-    /** Takes the socket out of the selector, and puts it in again once the selector has seen that. */
+    /** Removes the socket from the selector, and adds it again once the next poll has processed that. */
     static void renew(Channel socket, Turns turns) {
         if (!socket.isRegistered() || !socket.config().isAutoRead()) {
             return;
@@ -19,7 +19,7 @@
         turns.afterReading(new Runnable() {
             @Override
             public void run() {
-                turns.noMore(this);
+                turns.removeAfterReading(this);
                 socket.config().setAutoRead(true);
             }
         });
--- a/src/main/java/reedspring/net/Reloads.java
+++ b/src/main/java/reedspring/net/Reloads.java
@@ -4,25 +4,25 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Reads the configuration again when SIGHUP asks for it, on one thread that stands from the start. However
- * many signals come, one reload runs and at most one more is wanted: the JVM brings each signal on a new
- * thread, and none of those waits here.
+ * Reloads the configuration on SIGHUP, on one thread that is created at start. However many signals arrive,
+ * one reload runs and at most one more is pending: the JVM may deliver each signal on a new thread, and none
+ * of those may block here.
  */
 final class Reloads {
-    /** Six seconds in all. */
-    private static final int TRIES = 10;
-    private static final long FIRST_REST_MS = 100;
-    private static final long LONGEST_REST_MS = 800;
+    /** About six seconds in all with the delays below. */
+    private static final int MAX_ATTEMPTS = 10;
+    private static final long FIRST_DELAY_MS = 100;
+    private static final long MAX_DELAY_MS = 800;
 
     private BooleanSupplier reload;
-    private boolean wanted;
-    private Runnable last;
-    private boolean lastDone;
+    private boolean requested;
+    private Runnable lastAction;
+    private boolean lastActionDone;
 
     /**
-     * Starts the thread.
+     * Starts the reload thread.
      *
-     * @throws OutOfMemoryError if there is no thread to be had
+     * @throws OutOfMemoryError if no thread can be created
      */
     void start() {
         Thread thread = new Thread(this::run, "reload");
@@ -30,43 +30,51 @@
         thread.start();
     }
 
-    /** SIGHUP. One that comes before the front is up is made up for: the file may have been read before. */
+    /**
+     * Handles SIGHUP. A request before the front is up is kept until {@link #enable}, as the start may have
+     * read the file before it changed.
+     */
     synchronized void request() {
-        wanted = true;
+        requested = true;
         notifyAll();
     }
 
-    /** From now on there is a front; {@code how} returns whether the file could be used. */
-    synchronized void by(BooleanSupplier how) {
-        reload = how;
+    /**
+     * Enables reloads once the front is up.
+     *
+     * @param reloadAction reloads the file and returns whether it was usable
+     */
+    synchronized void enable(BooleanSupplier reloadAction) {
+        reload = reloadAction;
         notifyAll();
     }
 
     /**
-     * Runs {@code what} on the same thread, once a reload that is running has ended, and no reload after it.
-     * Waits for its end for so long at the most.
+     * Runs a last action on the reload thread, after a running reload and with no reload after it. Waits for
+     * it to complete, up to a timeout.
      */
-    synchronized void finish(Runnable what, long waitMs) throws InterruptedException {
-        last = what;
+    synchronized void finish(Runnable action, long waitMs) throws InterruptedException {
+        lastAction = action;
         notifyAll();
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
-        for (long left = waitMs; !lastDone && left > 0; left = millisTo(until)) {
-            wait(left);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
+        for (long remainingMs = waitMs; !lastActionDone && remainingMs > 0;
+                remainingMs = millisUntil(deadlineNanos)) {
+            wait(remainingMs);
         }
     }
 
-    private static long millisTo(long nanos) {
-        return TimeUnit.NANOSECONDS.toMillis(nanos - System.nanoTime());
+    private static long millisUntil(long deadlineNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
     }
 
     private void run() {
         try {
             while (awaitRequest()) {
-                reloadUntilRead();
+                reloadWithRetries();
             }
-            last.run();
+            lastAction.run();
             synchronized (this) {
-                lastDone = true;
+                lastActionDone = true;
                 notifyAll();
             }
         } catch (InterruptedException e) {
@@ -74,49 +82,54 @@
         }
     }
 
-    /** Takes the request; false once the thread has to finish. */
+    /** Waits for a pending request and takes it; returns false once the thread has to finish. */
     private synchronized boolean awaitRequest() throws InterruptedException {
-        while (last == null && !(wanted && reload != null)) {
+        while (lastAction == null && !(requested && reload != null)) {
             wait();
         }
-        wanted = false;
-        return last == null;
+        requested = false;
+        return lastAction == null;
     }
 
-    /** A file that is away or half written for a moment is read again: no further signal may come for it. */
-    private void reloadUntilRead() throws InterruptedException {
-        long rest = FIRST_REST_MS;
-        for (int tries = 1; !succeeds() && tries < TRIES && !finishing(); tries++) {
-            if (rests(rest)) {
-                tries = 0;
-                rest = FIRST_REST_MS;
+    /** Retries while the file is missing or half written: no further signal may announce its completion. */
+    private void reloadWithRetries() throws InterruptedException {
+        long delayMs = FIRST_DELAY_MS;
+        for (int attempts = 1; !tryReload() && attempts < MAX_ATTEMPTS && !finishing(); attempts++) {
+            if (pause(delayMs)) {
+                attempts = 0;
+                delayMs = FIRST_DELAY_MS;
             } else {
-                rest = Math.min(LONGEST_REST_MS, 2 * rest);
+                delayMs = Math.min(MAX_DELAY_MS, 2 * delayMs);
             }
         }
     }
 
     private synchronized boolean finishing() {
-        return last != null;
+        return lastAction != null;
     }
 
-    private boolean succeeds() {
+    private boolean tryReload() {
         try {
             return reload.getAsBoolean();
         } catch (RuntimeException | Error e) {
-            // As one that could not be read: the thread has to stand for the signals that come later.
+            // Treated like an unreadable file: the thread has to survive for later signals.
             return false;
         }
     }
 
-    /** Rests for all of that time; signals shorten nothing, so that their number bounds nothing. */
-    private synchronized boolean rests(long ms) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        for (long left = ms; last == null && left > 0; left = millisTo(until)) {
-            wait(left);
+    /**
+     * Sleeps for the whole time, whether or not signals arrive, so that they can't raise the rate of reads.
+     *
+     * @return whether another reload has been requested meanwhile
+     */
+    private synchronized boolean pause(long delayMs) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMs);
+        for (long remainingMs = delayMs; lastAction == null && remainingMs > 0;
+                remainingMs = millisUntil(deadlineNanos)) {
+            wait(remainingMs);
         }
-        boolean askedAgain = wanted;
-        wanted = false;
-        return askedAgain;
+        boolean requestedAgain = requested;
+        requested = false;
+        return requestedAgain;
     }
 }
--- a/src/main/java/reedspring/net/Shutdown.java
+++ b/src/main/java/reedspring/net/Shutdown.java
@@ -3,79 +3,80 @@
 import java.util.List;
 
 /**
- * The end of a front, from SIGTERM on: it serves on while requests can still come, waits until all that it
- * has taken is answered, shuts its connections in order, and gives clients a moment to read their last
- * answers.
+ * Graceful shutdown of a front after SIGTERM: it goes on serving while requests can still arrive, waits until
+ * all accepted requests are answered, closes its connections in order, and gives clients a moment to read
+ * their last answers. Times are in ticks; one tick is a tenth of a millisecond.
  */
 final class Shutdown {
-    /** Between two looks, in tenths of a millisecond. */
-    private static final long LOOK_EVERY = 100;
-    private static final long LINGER_LOOK_EVERY = 20;
+    /** Poll intervals, in ticks. */
+    private static final long CHECK_INTERVAL_TICKS = 100;
+    private static final long LINGER_CHECK_INTERVAL_TICKS = 20;
 
     private final Front front;
     private final Limits limits;
     private final ClientRoster roster;
-    private final long since;
-    private Runnable left;
-    private long acceptedAtLook;
+    private final long startedAt;
+    private Runnable onComplete;
+    private long acceptedAtLastCheck;
 
-    /** @param since when the front was told to end */
-    Shutdown(Front front, Limits limits, ClientRoster roster, long since) {
+    /** @param startedAt when the front was told to stop */
+    Shutdown(Front front, Limits limits, ClientRoster roster, long startedAt) {
         this.front = front;
         this.limits = limits;
         this.roster = roster;
-        this.since = since;
+        this.startedAt = startedAt;
     }
 
-    /** @param whenLeft runs once nothing is left */
-    void begin(Runnable whenLeft) {
-        left = whenLeft;
-        look();
+    /** @param whenComplete runs once the shutdown is complete */
+    void begin(Runnable whenComplete) {
+        onComplete = whenComplete;
+        check();
     }
 
-    private void look() {
-        long gone = front.clock().now() - since;
-        boolean moreCame = roster.accepted() != acceptedAtLook;
-        acceptedAtLook = roster.accepted();
-        if (gone < limits.leavingQuiet * 10L || !front.allAnswered() && gone < limits.leavingLongest * 10L
+    private void check() {
+        long elapsedTicks = front.clock().now() - startedAt;
+        boolean acceptedMore = roster.accepted() != acceptedAtLastCheck;
+        acceptedAtLastCheck = roster.accepted();
+        if (elapsedTicks < limits.leavingQuiet * 10L
+                || !front.allAnswered() && elapsedTicks < limits.leavingLongest * 10L
                 + limits.lastResort * 20L) {
-            lookLater();
+            checkLater();
             return;
         }
         List<ClientConnection> open = roster.open();
-        // Nothing can come any more but on connections that rest here. What lies unread there is still taken.
+        // Requests can arrive only on connections that are still open. What is unread there is accepted.
         open.forEach(ClientConnection::there);
-        // A turn accepts some connections only, and reads a part of a long query. After a stop of the loop
-        // the others still wait in the listener's queue, which ends with it: all of them would be reset.
-        boolean more = moreCame || front.mayHoldUnaccepted()
+        // One loop turn accepts a limited number of connections and reads only part of a long request. After
+        // a stall of the loop the others still wait in the accept queue, which closing the listener resets.
+        boolean mayHoldMore = acceptedMore || front.mayHoldUnaccepted()
                 || open.stream().anyMatch(ClientConnection::midway);
-        if ((more || !front.allAnswered()) && gone < limits.leavingLongest * 10L) {
-            lookLater();
+        if ((mayHoldMore || !front.allAnswered()) && elapsedTicks < limits.leavingLongest * 10L) {
+            checkLater();
             return;
         }
         front.closeListener();
         roster.open().forEach(client -> client.shut(CloseReason.FRONT_ENDS));
-        lingerOn(front.clock().now(), since + limits.leavingGone * 10L);
+        awaitClients(front.clock().now(), startedAt + limits.leavingGone * 10L);
     }
 
-    private void lookLater() {
-        front.timers().in(LOOK_EVERY, this::look);
+    private void checkLater() {
+        front.timers().in(CHECK_INTERVAL_TICKS, this::check);
     }
 
     /**
-     * Until each client has read its last answer, for as long as there is time, and has ended its side, for a
-     * moment: not all do.
+     * Waits until each client has read its last answer, up to the deadline, and for a shorter time until it
+     * has closed its side of the connection, which not all clients do.
      */
-    private void lingerOn(long from, long until) {
+    private void awaitClients(long lingerStart, long deadline) {
         long now = front.clock().now();
         boolean allRead = roster.lingering().stream().noneMatch(ClientConnection::unsent);
-        if (roster.lingering().isEmpty() || now >= until || now >= from + limits.leavingFlush * 10L
+        if (roster.lingering().isEmpty() || now >= deadline || now >= lingerStart + limits.leavingFlush * 10L
                 && allRead) {
             front.log().once("left", "");
             front.tellSums();
-            left.run();
+            onComplete.run();
         } else {
-            front.timers().in(LINGER_LOOK_EVERY, () -> lingerOn(from, until));
+            front.timers().in(LINGER_CHECK_INTERVAL_TICKS, () -> awaitClients(lingerStart, deadline));
         }
     }
 }
--- a/src/main/java/reedspring/net/SocketFault.java
+++ b/src/main/java/reedspring/net/SocketFault.java
@@ -1,7 +1,7 @@
 package reedspring.net;
 
-/** What was wrong with a socket and could be mended; counted, and told with the counts in the log. */
+/** Faults of sockets that the front detects and repairs; counted, and logged with the other counts. */
 enum SocketFault {
-    /** The selector did not know it, or not what was waited for there. */
+    /** The socket was missing from the selector, or registered without the awaited operation. */
     NOT_REGISTERED
 }
--- a/src/main/java/reedspring/net/SocketReads.java
+++ b/src/main/java/reedspring/net/SocketReads.java
@@ -9,43 +9,43 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * The first handler of a connection: counts the bytes that come, and can read all that lies in the socket
- * now, ahead of the selector. One read is no proof that nothing lies behind it: a close, or a cancel, shows
- * only once a read brings nothing more.
+ * The first handler of a connection: counts received bytes, and can read all that is in the socket now,
+ * without waiting for the selector. One read doesn't show that nothing follows: a close, or a cancel, shows
+ * only once a read returns no more data. Times are in ticks; one tick is a tenth of a millisecond.
  */
 final class SocketReads extends ChannelInboundHandlerAdapter {
-    /** Passes of sixteen reads each, for which one look goes on at the most: far more than a socket holds. */
-    private static final int MOST_PASSES = 256;
+    /** Maximum passes of one {@link #readAll}, of sixteen reads each: far more than a socket buffer holds. */
+    private static final int MAX_PASSES = 256;
 
     private final ArrivalBound arrival;
     private long bytes;
     private boolean readingAll;
-    /** The selector has told of something here, so that it knows the socket. */
-    private boolean told;
-    private boolean lookingPastSelector;
-    private long seenEmptyAt;
+    /** The selector has reported data here, which proves that the socket is registered. */
+    private boolean selectorReported;
+    private boolean readingWithoutSelector;
+    private long lastEmptyAt;
 
-    /** Of a connection on which nobody asks when bytes came. */
+    /** For a connection whose arrival times are not needed. */
     SocketReads() {
         this(null);
     }
 
     SocketReads(ArrivalBound arrival) {
         this.arrival = arrival;
-        this.seenEmptyAt = arrival == null ? 0 : arrival.earliest();
+        this.lastEmptyAt = arrival == null ? 0 : arrival.earliest();
     }
 
-    /** The bytes that have come so far. */
+    /** Total number of bytes received. */
     long bytes() {
         return bytes;
     }
 
-    /** Of what is read now: when it came at the earliest. In tenths of a millisecond. */
+    /** Lower bound of the arrival time of the data that is being read, in ticks. */
     long earliestArrival() {
-        return lookingPastSelector ? arrival.earliestUntold(seenEmptyAt) : arrival.earliest();
+        return readingWithoutSelector ? arrival.earliestIfUnreported(lastEmptyAt) : arrival.earliest();
     }
 
-    /** Reads until nothing more comes, the other side has closed, or for as long as one look may take. */
+    /** Reads until there is no more data, the peer has closed, or the maximum number of passes is reached. */
     void readAll(Channel socket) {
         if (readingAll || !(socket.unsafe() instanceof AbstractNioChannel.NioUnsafe reader)) {
             return;
@@ -53,7 +53,7 @@
         readingAll = true;
         try {
             long before = -1;
-            for (int pass = 0; pass < MOST_PASSES && bytes != before && socket.isActive(); pass++) {
+            for (int pass = 0; pass < MAX_PASSES && bytes != before && socket.isActive(); pass++) {
                 before = bytes;
                 reader.read();
             }
@@ -63,36 +63,37 @@
     }
 
     /**
-     * Looks into a socket of which the selector has told nothing so far, as it may not know of it.
+     * Reads from a socket for which the selector has reported nothing yet, as its registration may have
+     * failed.
      *
-     * @param now in tenths of a millisecond
-     * @return whether something lay there that it had not told of
+     * @param now in ticks
+     * @return whether there was data that the selector had not reported
      */
     boolean findsUntold(Channel socket, long now) {
-        if (told || !socket.isActive()) {
+        if (selectorReported || !socket.isActive()) {
             return false;
         }
         long before = bytes;
-        lookingPastSelector = true;
+        readingWithoutSelector = true;
         try {
             readAll(socket);
         } finally {
-            lookingPastSelector = false;
-            seenEmptyAt = now;
+            readingWithoutSelector = false;
+            lastEmptyAt = now;
         }
         return bytes > before;
     }
 
-    /** What waits to be sent on a socket, in bytes. */
+    /** Number of bytes that wait to be written to a socket. */
     static long pending(Channel socket) {
-        ChannelOutboundBuffer out = socket.unsafe().outboundBuffer();
-        return out == null ? 0 : out.totalPendingWriteBytes();
+        ChannelOutboundBuffer outboundBuffer = socket.unsafe().outboundBuffer();
+        return outboundBuffer == null ? 0 : outboundBuffer.totalPendingWriteBytes();
     }
 
     /**
-     * Tries to send what waits, though the selector has not told that the socket takes more.
+     * Tries to write pending data although the selector has not reported the socket as writable.
      *
-     * @return whether it did take something
+     * @return whether the socket accepted any of it
      */
     static boolean sendsUntold(Channel socket) {
         long before = pending(socket);
@@ -105,7 +106,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        told |= !readingAll;
+        selectorReported |= !readingAll;
         bytes += ((ByteBuf) message).readableBytes();
         ctx.fireChannelRead(message);
     }
@@ -113,19 +114,20 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (arrival != null && !readingAll) {
-            if (filled(ctx.channel())) {
-                arrival.notEmptied();
+            if (filledBuffer(ctx.channel())) {
+                arrival.markNotEmptied();
             } else if (arrival.mayHaveWaited()) {
-                // After a stop a read that was cut short must not pass for the socket's end.
+                // After a stall, a short read doesn't show that the socket is empty.
                 readAll(ctx.channel());
             }
         }
         ctx.fireChannelReadComplete();
     }
 
-    /** Whether the last read took all that it had room for, so that more may lie there. */
-    private static boolean filled(Channel socket) {
-        RecvByteBufAllocator.Handle reads = socket.unsafe().recvBufAllocHandle();
-        return reads.lastBytesRead() > 0 && reads.lastBytesRead() == reads.attemptedBytesRead();
+    /** Whether the last read filled its buffer, so that the socket may hold more. */
+    private static boolean filledBuffer(Channel socket) {
+        RecvByteBufAllocator.Handle allocHandle = socket.unsafe().recvBufAllocHandle();
+        return allocHandle.lastBytesRead() > 0
+                && allocHandle.lastBytesRead() == allocHandle.attemptedBytesRead();
     }
 }
--- a/src/main/java/reedspring/net/StallProbe.java
+++ b/src/main/java/reedspring/net/StallProbe.java
@@ -3,131 +3,134 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells what an event loop stood still for: after a turn that took too long, or that began too late, one
- * line with the cause and its figures. On the loop's thread only. Between stalls it costs two looks at the
- * clock for each turn and each thing done in it, and four times a second a read of the kernel's figures.
+ * Detects stalls of an event loop: after a turn that took too long or started too late, it logs one line with
+ * the probable cause and the figures behind it. Used on the loop's thread only. Between stalls it costs two
+ * clock reads for each turn and each unit of work in it, and a read of the kernel's thread times four times
+ * a second.
  *
- * <p>A turn is a wait in the selector, the reading of the sockets that are ready, and the tasks after it.
- * What counts is all of it but the time for which the loop was free to wait.
+ * <p>A turn is a wait in the selector, the reading of the ready sockets, and the tasks after that. A stall is
+ * the duration of a turn without the time for which the loop was allowed to wait.
  */
 final class StallProbe {
-    /** Between two samples of threads' times: what a stall is told by covers up to this much before it. */
-    private static final long SAMPLE = 250_000_000L;
-    /** A front's start has no time to spare for the names of its threads. */
-    private static final long OTHERS_AFTER = 2_000_000_000L;
-    private static final long MS = 1_000_000L;
+    /** Interval of thread time samples; the figures of a stall cover up to this much time before it. */
+    private static final long SAMPLE_INTERVAL_NANOS = 250_000_000L;
+    /** Delay before the other threads are looked up, as reading their names would slow the start down. */
+    private static final long OTHER_THREADS_DELAY_NANOS = 2_000_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
 
-    /** What most of a stall went to, in the words of the log. */
+    /** Where most of a stall was spent, with the log's text for it. */
     enum Cause {
         LOG("writing the log"), COLLECTION("collecting garbage"), QUEUED("waiting for a processor"),
         LONG_TURN("long turn"), BLOCKED("stopped or blocked"), UNKNOWN("cause unknown");
 
         private final String event;
 
-        Cause(String what) {
-            this.event = "event loop stalled, " + what;
+        Cause(String description) {
+            this.event = "event loop stalled, " + description;
         }
     }
 
     private final Log log;
-    private final long least;
-    private final LongSupplier nanos;
+    private final long minStallNanos;
+    private final LongSupplier nanoClock;
     private final ThreadTimes times;
     private final int[] stalls = new int[Cause.values().length];
     private final long[] stalledMs = new long[Cause.values().length];
-    private long[] sample = new long[ThreadTimes.FIGURES];
-    private long[] next = new long[ThreadTimes.FIGURES];
-    private long startedAt;
+    private long[] sample = new long[ThreadTimes.FIGURE_COUNT];
+    private long[] latest = new long[ThreadTimes.FIGURE_COUNT];
+    private long firstTurnAt;
     private boolean othersFound;
     private long sampledAt;
     private long heapAtSample;
     private long logAtSample;
 
-    // This turn. The loop may wait until `freeUntil`, and has begun with its sockets at `wokeAt`.
-    private boolean turning;
+    // State of the current turn. The loop may wait until `freeUntil`; it began to work at `wokeAt`.
+    private boolean started;
     private long freeUntil;
     private long wokeAt;
     private long workBegan;
-    private String kind;
+    private String workName;
     private long longestWork;
-    private String longestKind;
+    private String longestWorkName;
     private long longestDecision;
     private Class<?> decided;
 
-    /** @param leastMs what is shorter is no stall */
-    StallProbe(Log log, int leastMs) {
-        this(log, leastMs, System::nanoTime, new ThreadTimes());
+    /** @param minStallMs shortest duration that is reported as a stall */
+    StallProbe(Log log, int minStallMs) {
+        this(log, minStallMs, System::nanoTime, new ThreadTimes());
     }
 
-    StallProbe(Log log, int leastMs, LongSupplier nanos, ThreadTimes times) {
+    StallProbe(Log log, int minStallMs, LongSupplier nanoClock, ThreadTimes times) {
         this.log = log;
-        this.least = leastMs * MS;
-        this.nanos = nanos;
+        this.minStallNanos = minStallMs * NANOS_PER_MS;
+        this.nanoClock = nanoClock;
         this.times = times;
     }
 
-    /** Ends a turn and begins the next, which may wait for that long before it has anything to do. */
-    void turn(long mayWaitNanos) {
-        long now = nanos.getAsLong();
-        if (!turning) {
-            turning = true;
-            startedAt = now;
-            times.findLoop();
+    /** Ends a turn and begins the next, which may wait in the selector for up to the given time. */
+    void beginTurn(long maxWaitNanos) {
+        long now = nanoClock.getAsLong();
+        if (!started) {
+            started = true;
+            firstTurnAt = now;
+            times.findLoopThread();
             sample(now);
         } else {
-            long stalled = now - Math.min(wokeAt == 0 ? now : wokeAt, freeUntil);
-            if (stalled >= least) {
-                tell(now, stalled);
-            } else if (now - sampledAt >= SAMPLE) {
+            long stallNanos = now - Math.min(wokeAt == 0 ? now : wokeAt, freeUntil);
+            if (stallNanos >= minStallNanos) {
+                report(now, stallNanos);
+            } else if (now - sampledAt >= SAMPLE_INTERVAL_NANOS) {
                 sample(now);
             }
         }
-        freeUntil = now + Math.max(0, mayWaitNanos);
+        freeUntil = now + Math.max(0, maxWaitNanos);
         wokeAt = 0;
         longestWork = 0;
-        longestKind = null;
+        longestWorkName = null;
         longestDecision = 0;
         decided = null;
     }
 
-    /** The sockets that were ready are read. */
-    void read() {
-        wakes(nanos.getAsLong());
+    /** Notes that the ready sockets of this turn have been read. */
+    void socketsRead() {
+        markAwake(nanoClock.getAsLong());
     }
 
-    private void wakes(long now) {
+    private void markAwake(long now) {
         if (wokeAt == 0) {
             wokeAt = now;
         }
     }
 
-    /** Something is begun: a socket, or an alarm. What it is may be told later. */
-    void begin(String what) {
-        workBegan = nanos.getAsLong();
-        wakes(workBegan);
-        kind = what;
+    /** Begins a unit of work, such as an event of a socket or a timer; {@link #is} may name it later. */
+    void begin(String name) {
+        workBegan = nanoClock.getAsLong();
+        markAwake(workBegan);
+        workName = name;
     }
 
-    /** What it turned out to be. */
-    void is(String what) {
-        kind = what;
+    /** Names the current unit of work more precisely. */
+    void is(String name) {
+        workName = name;
     }
 
+    /** Ends the current unit of work. */
     void end() {
-        long took = nanos.getAsLong() - workBegan;
+        long took = nanoClock.getAsLong() - workBegan;
         if (took > longestWork) {
             longestWork = took;
-            longestKind = kind;
+            longestWorkName = workName;
         }
     }
 
-    /** For {@link #decided}. */
+    /** Start time of a decision, for {@link #decided}. */
     long decides() {
-        return nanos.getAsLong();
+        return nanoClock.getAsLong();
     }
 
+    /** Notes the end of the decision on an event, with the start time from {@link #decides}. */
     void decided(long since, Object event) {
-        long took = nanos.getAsLong() - since;
+        long took = nanoClock.getAsLong() - since;
         if (took > longestDecision) {
             longestDecision = took;
             decided = event.getClass();
@@ -137,57 +140,61 @@
     private void sample(long now) {
         times.read(sample);
         sampledAt = now;
-        heapAtSample = heap();
+        heapAtSample = usedHeapBytes();
         logAtSample = log.spentNanos();
-        if (!othersFound && now - startedAt >= OTHERS_AFTER) {
+        if (!othersFound && now - firstTurnAt >= OTHER_THREADS_DELAY_NANOS) {
             othersFound = true;
-            times.findOthers();
+            times.findOtherThreads();
             times.read(sample);
         }
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    private void tell(long now, long stalled) {
-        times.read(next);
-        long[] spent = new long[ThreadTimes.FIGURES];
+    private void report(long now, long stallNanos) {
+        times.read(latest);
+        long[] spent = new long[ThreadTimes.FIGURE_COUNT];
         for (int k = 0; k < spent.length; k++) {
-            // A thread that was found or has ended since tells nothing.
-            spent[k] = sample[k] == 0 || next[k] < sample[k] ? 0 : next[k] - sample[k];
+            // No difference for a thread that was found, or has ended, since the sample.
+            spent[k] = sample[k] == 0 || latest[k] < sample[k] ? 0 : latest[k] - sample[k];
         }
-        long inLog = log.spentNanos() - logAtSample;
-        Cause cause = next[ThreadTimes.LOOP_RAN] == 0 ? Cause.UNKNOWN : cause(stalled, spent, inLog);
-        long ms = stalled / MS;
+        long logNanos = log.spentNanos() - logAtSample;
+        Cause cause = latest[ThreadTimes.LOOP_RAN] == 0 ? Cause.UNKNOWN : cause(stallNanos, spent, logNanos);
+        long ms = stallNanos / NANOS_PER_MS;
         stalls[cause.ordinal()]++;
         stalledMs[cause.ordinal()] += ms;
-        log.line(cause.event, ms + " ms; in " + (now - sampledAt) / MS + " ms ran "
-                + spent[ThreadTimes.LOOP_RAN] / MS + ", queued " + spent[ThreadTimes.LOOP_QUEUED] / MS
-                + "; VM thread " + spent[ThreadTimes.VM_RAN] / MS + ", "
-                + spent[ThreadTimes.VM_QUEUED] / MS + "; compiler " + spent[ThreadTimes.COMPILER_RAN] / MS
-                + ", " + spent[ThreadTimes.COMPILER_QUEUED] / MS + "; log " + inLog / MS + "; longest "
-                + (longestKind == null ? "task" : longestKind) + " " + longestWork / MS
-                + (decided == null ? "" : ", " + decided.getSimpleName() + " " + longestDecision / MS)
-                + "; heap " + (heapAtSample >> 20) + " to " + (heap() >> 20) + " MB; "
-                + stalls[cause.ordinal()] + " so far, " + stalledMs[cause.ordinal()] + " ms");
+        log.line(cause.event, ms + " ms; in " + (now - sampledAt) / NANOS_PER_MS + " ms ran "
+                + spent[ThreadTimes.LOOP_RAN] / NANOS_PER_MS + ", queued "
+                + spent[ThreadTimes.LOOP_QUEUED] / NANOS_PER_MS
+                + "; VM thread " + spent[ThreadTimes.VM_RAN] / NANOS_PER_MS + ", "
+                + spent[ThreadTimes.VM_QUEUED] / NANOS_PER_MS + "; compiler "
+                + spent[ThreadTimes.COMPILER_RAN] / NANOS_PER_MS + ", "
+                + spent[ThreadTimes.COMPILER_QUEUED] / NANOS_PER_MS + "; log " + logNanos / NANOS_PER_MS
+                + "; longest " + (longestWorkName == null ? "task" : longestWorkName) + " "
+                + longestWork / NANOS_PER_MS + (decided == null ? "" : ", " + decided.getSimpleName() + " "
+                + longestDecision / NANOS_PER_MS) + "; heap " + (heapAtSample >> 20) + " to "
+                + (usedHeapBytes() >> 20) + " MB; " + stalls[cause.ordinal()] + " so far, "
+                + stalledMs[cause.ordinal()] + " ms");
         sample(now);
     }
 
     /**
-     * The part that is largest: the loop ran, stood in the run queue, or neither, which is a lock of the JVM,
-     * most of all while garbage is collected, a page or a call that waits, or a stop of the process.
+     * Attributes a stall to its largest part: the loop ran, waited in the run queue, or neither. The last is
+     * a lock of the JVM (mostly during garbage collection), a page fault, a blocking call, or a stopped
+     * process.
      */
-    static Cause cause(long stalled, long[] spent, long inLog) {
-        long ran = Math.min(stalled, spent[ThreadTimes.LOOP_RAN]);
-        long queued = Math.min(stalled, spent[ThreadTimes.LOOP_QUEUED]);
-        long neither = Math.max(0, stalled - ran - queued);
-        if (inLog * 2 >= stalled) {
+    static Cause cause(long stallNanos, long[] spent, long logNanos) {
+        long ran = Math.min(stallNanos, spent[ThreadTimes.LOOP_RAN]);
+        long queued = Math.min(stallNanos, spent[ThreadTimes.LOOP_QUEUED]);
+        long neither = Math.max(0, stallNanos - ran - queued);
+        if (logNanos * 2 >= stallNanos) {
             return Cause.LOG;
         } else if (neither >= Math.max(ran, queued)) {
-            long vm = spent[ThreadTimes.VM_RAN] + spent[ThreadTimes.VM_QUEUED];
-            return vm >= neither / 2 ? Cause.COLLECTION : Cause.BLOCKED;
+            long vmNanos = spent[ThreadTimes.VM_RAN] + spent[ThreadTimes.VM_QUEUED];
+            return vmNanos >= neither / 2 ? Cause.COLLECTION : Cause.BLOCKED;
         }
         return spent[ThreadTimes.LOOP_QUEUED] >= spent[ThreadTimes.LOOP_RAN] ? Cause.QUEUED
                 : Cause.LONG_TURN;
--- a/src/main/java/reedspring/net/StartAttempts.java
+++ b/src/main/java/reedspring/net/StartAttempts.java
@@ -3,35 +3,38 @@
 import java.util.concurrent.Callable;
 
 /**
- * What a start needs of the system, tried again for a while: descriptors, memory and threads may be lacking
- * for a moment, a file or an address may be taken by what ends just now.
+ * Retries an operation of the start at a fixed delay: descriptors, memory and threads may be short for a
+ * moment, and a file or an address may still be in use by a process that is about to exit.
  */
 final class StartAttempts {
-    private final int tries;
-    private final long restMs;
+    private final int maxAttempts;
+    private final long delayMs;
 
-    /** @param tries at the most, with a rest between two of them */
-    StartAttempts(int tries, long restMs) {
-        this.tries = tries;
-        this.restMs = restMs;
+    /**
+     * @param maxAttempts maximum number of attempts
+     * @param delayMs delay between two attempts
+     */
+    StartAttempts(int maxAttempts, long delayMs) {
+        this.maxAttempts = maxAttempts;
+        this.delayMs = delayMs;
     }
 
-    /** Whether a failure may pass by itself. */
-    interface Passing {
+    /** Tells whether a failure may be transient, so that a retry makes sense. */
+    interface TransientCheck {
         boolean test(Throwable failure);
     }
 
-    /** The result of {@code what}, or its last failure. */
-    <T> T of(Callable<T> what, Passing passing) throws Exception {
+    /** Returns the operation's result, or throws the failure of the last attempt. */
+    <T> T call(Callable<T> operation, TransientCheck transientCheck) throws Exception {
         for (int attempt = 1;; attempt++) {
             try {
-                return what.call();
+                return operation.call();
             } catch (Exception | OutOfMemoryError e) {
-                if (attempt >= tries || !passing.test(e)) {
+                if (attempt >= maxAttempts || !transientCheck.test(e)) {
                     throw e;
                 }
             }
-            Thread.sleep(restMs);
+            Thread.sleep(delayMs);
         }
     }
 }
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -19,130 +19,135 @@
 import reedspring.boot.BootException;
 import reedspring.settings.StandingOrders;
 
-/** Reads the configuration, brings the front up on its loop, and takes it down when the platform says so. */
+/** Reads the configuration, starts the front on its event loop, and stops it when a signal asks for that. */
 public final class Startup {
-    private static final int UNUSABLE = 78;
-    private static final int UNAVAILABLE = 69;
-    private static final long LOG_CLOSING_MS = 100;
-    private static final long SPOOL_CLOSING_MS = 300;
-    private static final long REST_MS = 50;
-    /** 2.5 s at the most, 1.5 s and 3 s: together well under the time in which a front has to be ready. */
-    private static final StartAttempts FILE_READS = new StartAttempts(50, REST_MS);
-    private static final StartAttempts LOOP_STARTS = new StartAttempts(30, REST_MS);
-    private static final StartAttempts BINDS = new StartAttempts(60, REST_MS);
+    private static final int EXIT_CONFIGURATION = 78;
+    private static final int EXIT_UNAVAILABLE = 69;
+    private static final long LOG_CLOSE_TIMEOUT_MS = 100;
+    private static final long SPOOL_CLOSE_TIMEOUT_MS = 300;
+    private static final long RETRY_DELAY_MS = 50;
+    /** Up to 2.5 s, 1.5 s and 3 s: together well under the 10 s within which a front has to be ready. */
+    private static final StartAttempts FILE_READ_ATTEMPTS = new StartAttempts(50, RETRY_DELAY_MS);
+    private static final StartAttempts LOOP_START_ATTEMPTS = new StartAttempts(30, RETRY_DELAY_MS);
+    private static final StartAttempts BIND_ATTEMPTS = new StartAttempts(60, RETRY_DELAY_MS);
 
     private Startup() {
     }
 
     /**
-     * Serves until the process is ended, with what the installation switches on;
-     * returns its exit code. The caller has to halt with it: the event loop's thread still stands.
+     * Serves until the process is told to stop, with the features that the installation's settings enable.
+     *
+     * @return the exit code; the caller has to halt with it, as the event loop's thread is still alive
      */
-    public static int serve(Map<String, String> environment, StandingOrders standing)
+    public static int serve(Map<String, String> environment, StandingOrders settings)
             throws InterruptedException {
-        return serve(environment, new Installation(standing));
+        return serve(environment, new Installation(settings));
     }
 
-    /** The platform's front: nothing is switched on, and no class of what could be is loaded. */
+    /** Serves without any optional feature, and without loading the classes of one. */
     public static int serve(Map<String, String> environment) throws InterruptedException {
-        return serve(environment, (Additions) null);
+        return serve(environment, (OptionalFeatures) null);
     }
 
-    /** What an installation adds to a front, behind an interface so that naming it loads none of it. */
-    interface Additions {
-        /** Null for plain text. */
+    /** Optional features of an installation; an interface, so that a reference to it loads none of them. */
+    interface OptionalFeatures {
+        /** Formatter of JSON log lines, or null for plain text. */
         Log.JsonLines jsonLines();
 
-        void join(Front front, EventLoop loop, String name) throws BootException;
+        /** Adds the features to the front; on the loop's thread. */
+        void install(Front front, EventLoop loop, String name) throws BootException;
     }
 
-    private static int serve(Map<String, String> environment, Additions additions)
+    private static int serve(Map<String, String> environment, OptionalFeatures features)
             throws InterruptedException {
         String path = environment.get("RELAY_CONFIG");
-        // The signals before all else: one that comes during the start would end the process, or be lost.
+        // Signal handlers first: a signal during the start would kill the process or be lost.
         Termination termination = new Termination();
         Reloads reloads = new Reloads();
         ProcessSignals signals = new ProcessSignals();
         signals.handle("TERM", termination::request);
         signals.handle("INT", termination::request);
-        // Started with SIGHUP ignored, as nohup does it, the JVM leaves that so, and no reload is heard.
-        boolean hearsReloads = signals.handle("HUP", reloads::request);
-        boolean threadless = signals.dispatchWithoutThreads();
+        // If the parent process (such as nohup) ignores SIGHUP, the JVM keeps it ignored: no reloads.
+        boolean reloadsEnabled = signals.handle("HUP", reloads::request);
+        boolean dispatchedWithoutThreads = signals.dispatchWithoutThreads();
         try {
             FrontConfiguration configuration =
-                    FILE_READS.of(() -> FrontConfiguration.read(path), IOException.class::isInstance);
+                    FILE_READ_ATTEMPTS.call(() -> FrontConfiguration.read(path),
+                            IOException.class::isInstance);
             Turns turns = new Turns();
-            EventLoop loop = LOOP_STARTS.of(() -> eventLoop(turns), Startup::lacksResource);
-            LOOP_STARTS.of(() -> runs(loop), Startup::lacksResource);
-            Started started = raise(loop, turns, configuration, additions, termination);
+            EventLoop loop = LOOP_START_ATTEMPTS.call(() -> openEventLoop(turns), Startup::isUnavailable);
+            LOOP_START_ATTEMPTS.call(() -> startThread(loop), Startup::isUnavailable);
+            StartedFront started = startFront(loop, turns, configuration, features, termination);
             Front front = started.front();
-            if (startsReloads(reloads, front)) {
-                reloads.by(() -> reload(loop, front, started.journal(), path));
+            if (startReloads(reloads, front)) {
+                reloads.enable(() -> reload(loop, front, started.journal(), path));
             }
-            Channel listener = BINDS.of(() -> bind(loop, front, configuration),
-                    failure -> lacksResource(failure) && !termination.isRequested());
-            if (!hearsReloads) {
-                front.log().line("SIGHUP is ignored by what started the front, no reload is heard", "");
+            Channel listener = BIND_ATTEMPTS.call(() -> bind(loop, front, configuration),
+                    failure -> isUnavailable(failure) && !termination.isRequested());
+            if (!reloadsEnabled) {
+                front.log().line("SIGHUP is ignored by the parent process, no reload is heard", "");
             }
-            if (!threadless) {
-                front.log().line("each signal takes a new thread", "this JVM does not let that be changed");
+            if (!dispatchedWithoutThreads) {
+                front.log().line("each signal starts a new thread",
+                        "this JVM does not allow replacing its signal handlers");
             }
             front.log().once("front " + configuration.name() + " serves on",
                     configuration.listen().toString());
             loop.execute(() -> front.atTheEnd(listener::close));
             listener.closeFuture().addListener(closed -> {
                 if (!front.leaves()) {
-                    termination.fails(UNAVAILABLE);
+                    termination.fail(EXIT_UNAVAILABLE);
                 }
             });
             int exitCode = termination.await();
-            close(front, reloads);
+            closeFront(front, reloads);
             return exitCode;
         } catch (BootException e) {
             System.err.println("reedspring: configuration: " + e.getMessage());
-            return UNUSABLE;
+            return EXIT_CONFIGURATION;
         } catch (UnavailableException e) {
             if (termination.isRequested()) {
-                // Told to end while it waited for its address: nothing has been taken.
-                return Termination.ENDED;
+                // Told to stop while waiting for its listen address: no request has been accepted.
+                return Termination.EXIT_OK;
             }
             System.err.println("reedspring: " + e.getMessage());
-            return UNAVAILABLE;
+            return EXIT_UNAVAILABLE;
         } catch (IOException e) {
-            System.err.println("reedspring: configuration: " + FrontConfiguration.unusable(e).getMessage());
-            return UNUSABLE;
+            System.err.println("reedspring: configuration: "
+                    + FrontConfiguration.unreadableFile(e).getMessage());
+            return EXIT_CONFIGURATION;
         } catch (InterruptedException e) {
             throw e;
         } catch (Exception | Error e) {
-            System.err.println("reedspring: the start failed: " + e);
-            return Termination.SOFTWARE_FAULT;
+            System.err.println("reedspring: start failed: " + e);
+            return Termination.EXIT_SOFTWARE_FAULT;
         }
     }
 
-    /** What a start needs of the system was not to be had. */
+    /** A system resource that the start needs is not available. */
     private static final class UnavailableException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        UnavailableException(String what, Throwable cause) {
-            super(what + ": " + cause.getMessage(), cause);
+        UnavailableException(String resource, Throwable cause) {
+            super(resource + ": " + cause.getMessage(), cause);
         }
     }
 
-    /** A front, and what it hears of engines by. */
-    private record Started(Front front, Journal journal) {
+    /** The front and its client of the journal service. */
+    private record StartedFront(Front front, Journal journal) {
     }
 
-    /** A loop whose selector is open. */
-    private static EventLoop eventLoop(Turns turns) throws UnavailableException {
+    /** Creates an event loop with an open selector. */
+    private static EventLoop openEventLoop(Turns turns) throws UnavailableException {
         try {
             return new MultiThreadIoEventLoopGroup(1, turns).next();
         } catch (IllegalStateException e) {
-            throw new UnavailableException("event loop, epoll_create1 or eventfd", rootOf(e));
+            throw new UnavailableException("event loop, epoll_create1 or eventfd", rootCause(e));
         }
     }
 
-    /** Starts the loop's thread. */
-    private static boolean runs(EventLoop loop) throws UnavailableException, InterruptedException,
+    /** Starts the loop's thread by running a task on it. */
+    private static boolean startThread(EventLoop loop) throws UnavailableException, InterruptedException,
             ExecutionException {
         try {
             return loop.submit(() -> true).get();
@@ -151,11 +156,11 @@
         }
     }
 
-    private static boolean lacksResource(Throwable failure) {
+    private static boolean isUnavailable(Throwable failure) {
         return failure instanceof UnavailableException;
     }
 
-    private static Throwable rootOf(Throwable failure) {
+    private static Throwable rootCause(Throwable failure) {
         Throwable root = failure;
         while (root.getCause() != null) {
             root = root.getCause();
@@ -173,40 +178,40 @@
         return bound.channel();
     }
 
-    /** False if there is no thread to be had; the front serves all the same. */
-    private static boolean startsReloads(Reloads reloads, Front front) {
+    /** Returns false if no thread can be created; the front serves without reloads then. */
+    private static boolean startReloads(Reloads reloads, Front front) {
         try {
             reloads.start();
             return true;
         } catch (OutOfMemoryError e) {
-            front.log().line("no thread for reloads, SIGHUP is not heeded", e.getMessage());
+            front.log().line("no thread for reloads, SIGHUP is ignored", e.getMessage());
             return false;
         }
     }
 
-    private static Started raise(EventLoop loop, Turns turns, FrontConfiguration configuration,
-                                 Additions additions, Termination termination)
+    private static StartedFront startFront(EventLoop loop, Turns turns, FrontConfiguration configuration,
+                                 OptionalFeatures features, Termination termination)
             throws InterruptedException, BootException {
         try {
             return loop.submit(() -> {
-                Log log = new Log(configuration.limits(), additions == null ? null : additions.jsonLines());
+                Log log = new Log(configuration.limits(), features == null ? null : features.jsonLines());
                 Front front = new Front(loop, turns, configuration.boot(), configuration.limits(), log,
                         configuration.seed());
-                if (additions != null) {
-                    additions.join(front, loop, configuration.name());
+                if (features != null) {
+                    features.install(front, loop, configuration.name());
                 }
-                termination.raised(front);
-                return new Started(front, follow(loop, front, configuration));
+                termination.frontStarted(front);
+                return new StartedFront(front, follow(loop, front, configuration));
             }).get();
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof BootException wrong) {
-                throw wrong;
+            if (e.getCause() instanceof BootException error) {
+                throw error;
             }
             throw new BootException("known", String.valueOf(e.getCause()));
         }
     }
 
-    /** Has the front hear what is known of engines, and what the journal service tells from then on. */
+    /** Gives the front the engines of the configuration, and then the updates of the journal service. */
     static Journal follow(EventLoop loop, Front front, FrontConfiguration configuration)
             throws BootException {
         Journal journal = new Journal(loop, front, configuration.limits(), configuration.journal(),
@@ -218,8 +223,9 @@
     }
 
     /**
-     * Takes over the journal service's address, the one thing that can change under a front that serves: the
-     * rest is what its decisions and limits were made from. A file that can't be used changes nothing.
+     * Applies the journal service's address from the configuration file. It is the only value that can change
+     * while the front serves; limits and the state of decisions were computed from the others at start. An
+     * unusable file changes nothing.
      *
      * @return whether the file could be used
      */
@@ -232,27 +238,27 @@
             });
             return true;
         } catch (IOException e) {
-            tellUnusable(loop, front, FrontConfiguration.unusable(e));
+            logUnusable(loop, front, FrontConfiguration.unreadableFile(e));
         } catch (BootException e) {
-            tellUnusable(loop, front, e);
+            logUnusable(loop, front, e);
         } catch (RuntimeException e) {
             loop.execute(() -> front.log().fault("configuration can't be used, nothing changed", e));
         }
         return false;
     }
 
-    /** A kind of line of its own for each fault, so that each is named. */
-    private static void tellUnusable(EventLoop loop, Front front, BootException wrong) {
-        String line = "configuration can't be used, nothing changed: " + wrong.getMessage();
+    /** The message is part of the event, so that the log's rate limit applies to each fault on its own. */
+    private static void logUnusable(EventLoop loop, Front front, BootException error) {
+        String line = "configuration can't be used, nothing changed: " + error.getMessage();
         loop.execute(() -> front.log().line(line, ""));
     }
 
-    /** The front has left: what it kept, and the last lines, unless nobody takes the log any more. */
-    private static void close(Front front, Reloads reloads) throws InterruptedException {
-        if (front.kept() != null && !front.kept().close(SPOOL_CLOSING_MS)) {
-            front.log().once("spool not closed,", "what it had begun is looked through at the next start");
+    /** Closes the spool and writes the last log lines, for a limited time, as the log may be blocked. */
+    private static void closeFront(Front front, Reloads reloads) throws InterruptedException {
+        if (front.kept() != null && !front.kept().close(SPOOL_CLOSE_TIMEOUT_MS)) {
+            front.log().once("spool not closed,", "its unfinished segments are checked at the next start");
         }
-        reloads.finish(Startup::closeLog, LOG_CLOSING_MS);
+        reloads.finish(Startup::closeLog, LOG_CLOSE_TIMEOUT_MS);
     }
 
     private static void closeLog() {
@@ -263,6 +269,7 @@
         }
     }
 
+    /** The listener, configured but not bound. */
     static ServerBootstrap server(EventLoopGroup group, Front front, Limits limits) {
         AcceptGuard guard = new AcceptGuard(front);
         front.listensBehind(guard);
@@ -277,25 +284,25 @@
                         new AdaptiveRecvByteBufAllocator(256, limits.firstRead, limits.largestRead))
                 .childHandler(new ChannelInitializer<>() {
                     @Override
-                    protected void initChannel(Channel made) {
+                    protected void initChannel(Channel channel) {
                         ClientConnection client = new ClientConnection(front, guard.earliestArrival());
-                        made.pipeline().addLast(client.socketReads(),
+                        channel.pipeline().addLast(client.socketReads(),
                                 new FlushConsolidationHandler(limits.flushes, true), client.decoder(),
                                         client);
                         if (!front.roster().came(client)) {
-                            made.close();
+                            channel.close();
                         }
                     }
                 });
     }
 
-    /** What is wrong with a configuration file, or null. */
-    public static String fault(String path) {
+    /** The error in a configuration file, or null if it is usable. */
+    public static String configurationError(String path) {
         try {
             FrontConfiguration.read(path);
             return null;
         } catch (IOException e) {
-            return FrontConfiguration.unusable(e).getMessage();
+            return FrontConfiguration.unreadableFile(e).getMessage();
         } catch (BootException e) {
             return e.getMessage();
         }
--- a/src/main/java/reedspring/net/Termination.java
+++ b/src/main/java/reedspring/net/Termination.java
@@ -4,38 +4,38 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The end of the process, asked for by SIGTERM. What a signal's thread does here takes no time and makes no
- * thread; the main thread, which stands from the start, waits for the front to leave and ends the process
- * with the exit code. It is no shutdown hook: that would need threads of its own, and would also run, and
- * hide the exit code, where the front ends for a fault.
+ * Ends the process on SIGTERM. The signal handler neither blocks nor creates a thread; the main thread waits
+ * for the front's graceful shutdown and then ends the process with the exit code. A shutdown hook would not
+ * do: it needs threads of its own, and it would also run, and hide the exit code, when the front ends because
+ * of a fault.
  */
 final class Termination {
-    static final int ENDED = 0;
-    static final int SOFTWARE_FAULT = 70;
-    /** Well past the moment by which a front has left, and past the earliest SIGKILL. */
-    private static final long STUCK_AFTER_MS = 6_000;
+    static final int EXIT_OK = 0;
+    static final int EXIT_SOFTWARE_FAULT = 70;
+    /** Well past the longest graceful shutdown, and past the earliest SIGKILL. */
+    private static final long SHUTDOWN_TIMEOUT_MS = 6_000;
 
     private final CountDownLatch requested = new CountDownLatch(1);
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private Front front;
-    private volatile int exitCode = ENDED;
+    private volatile int exitCode = EXIT_OK;
 
-    /** There is a front, which has to leave in order from now on. */
-    synchronized void raised(Front made) {
-        front = made;
+    /** Registers the front; from now on a request shuts it down gracefully. */
+    synchronized void frontStarted(Front startedFront) {
+        front = startedFront;
     }
 
     /**
-     * SIGTERM. The first counts. Before there is a front, nothing has been taken, and the process ends at
-     * once.
+     * Handles SIGTERM; only the first has an effect. Without a front no request has been accepted, and the
+     * process ends at once.
      */
     synchronized void request() {
         if (front == null) {
-            Runtime.getRuntime().halt(ENDED);
+            Runtime.getRuntime().halt(EXIT_OK);
         }
         if (requested.getCount() > 0) {
             Front leaving = front;
-            leaving.loop().execute(() -> leaving.leave(over::countDown));
+            leaving.loop().execute(() -> leaving.leave(finished::countDown));
             requested.countDown();
         }
     }
@@ -44,19 +44,19 @@
         return requested.getCount() == 0;
     }
 
-    /** The front can't go on. */
-    void fails(int code) {
+    /** Ends the process with an exit code, as the front can't go on. */
+    void fail(int code) {
         exitCode = code;
         requested.countDown();
-        over.countDown();
+        finished.countDown();
     }
 
-    /** Waits for the end, and returns the exit code. */
+    /** Waits for the end of the front and returns the exit code. */
     int await() throws InterruptedException {
         requested.await();
-        if (!over.await(STUCK_AFTER_MS, TimeUnit.MILLISECONDS)) {
-            System.err.println("reedspring: the end did not come, the event loop is stuck");
-            return SOFTWARE_FAULT;
+        if (!finished.await(SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+            System.err.println("reedspring: shutdown timed out, the event loop is stuck");
+            return EXIT_SOFTWARE_FAULT;
         }
         return exitCode;
     }
--- a/src/main/java/reedspring/net/ThreadTimes.java
+++ b/src/main/java/reedspring/net/ThreadTimes.java
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 
 /**
- * How long threads of this process ran, and how long they stood in the run queue of a processor, by the
- * kernel's own count (schedstat: run time and run delay in nanoseconds). The JVM's management beans tell
- * less, and their first use costs 40 ms of processor time, a second's worth of a front's share.
+ * Run time and run queue delay of threads of this process, in nanoseconds, from the kernel's schedstat files.
+ * The JVM's management beans provide less, and their first use costs 40 ms of processor time, a front's share
+ * of a whole second.
  */
 class ThreadTimes {
     static final int LOOP_RAN = 0;
@@ -18,54 +18,54 @@
     static final int VM_QUEUED = 3;
     static final int COMPILER_RAN = 4;
     static final int COMPILER_QUEUED = 5;
-    static final int FIGURES = 6;
+    static final int FIGURE_COUNT = 6;
 
-    private static final Path TASKS = Path.of("/proc/self/task");
+    private static final Path TASK_DIRECTORY = Path.of("/proc/self/task");
     private final byte[] text = new byte[64];
-    private final RandomAccessFile[] files = new RandomAccessFile[FIGURES / 2];
+    private final RandomAccessFile[] files = new RandomAccessFile[FIGURE_COUNT / 2];
 
-    /** Of the calling thread; the others are looked up by {@link #findOthers}. */
-    void findLoop() {
+    /** Opens the file of the calling thread; {@link #findOthers} opens the others. */
+    void findLoopThread() {
         try {
             files[0] = open(Files.readSymbolicLink(Path.of("/proc/thread-self")).getFileName().toString());
         } catch (IOException | RuntimeException e) {
-            // no such files here: the probe does without
+            // schedstat is not available here: all figures stay 0
         }
     }
 
     /**
-     * The thread that collects garbage, alone or for others, and the first compiler. Reads a name for each
-     * thread that is older.
+     * Opens the files of the VM thread, which collects garbage or coordinates that, and of the first compiler
+     * thread. Reads the name of each thread up to those.
      */
-    void findOthers() {
-        String[] tasks = TASKS.toFile().list();
+    void findOtherThreads() {
+        String[] tasks = TASK_DIRECTORY.toFile().list();
         for (int k = 0; tasks != null && k < tasks.length && (files[1] == null || files[2] == null); k++) {
             try {
-                String name = Files.readString(TASKS.resolve(tasks[k]).resolve("comm"));
+                String name = Files.readString(TASK_DIRECTORY.resolve(tasks[k]).resolve("comm"));
                 if (files[1] == null && name.startsWith("VM Thread")) {
                     files[1] = open(tasks[k]);
                 } else if (files[2] == null && name.contains("CompilerThre")) {
                     files[2] = open(tasks[k]);
                 }
             } catch (IOException | RuntimeException e) {
-                // it has ended meanwhile, or no descriptor is free
+                // the thread has ended meanwhile, or no descriptor is free
             }
         }
     }
 
     private static RandomAccessFile open(String task) throws IOException {
-        return new RandomAccessFile(new File(TASKS.resolve(task).toFile(), "schedstat"), "r");
+        return new RandomAccessFile(new File(TASK_DIRECTORY.resolve(task).toFile(), "schedstat"), "r");
     }
 
-    /** Fills in all {@link #FIGURES}, in nanoseconds since each thread began; 0 where there are none. */
-    void read(long[] into) {
+    /** Reads all {@link #FIGURES}, in nanoseconds since each thread's start; 0 if not available. */
+    void read(long[] figures) {
         for (int k = 0; k < files.length; k++) {
-            into[2 * k] = 0;
-            into[2 * k + 1] = 0;
+            figures[2 * k] = 0;
+            figures[2 * k + 1] = 0;
             if (files[k] != null) {
                 try {
                     files[k].seek(0);
-                    parse(text, files[k].read(text), into, 2 * k);
+                    parse(text, files[k].read(text), figures, 2 * k);
                 } catch (IOException e) {
                     // the thread has ended
                     close(k);
@@ -78,19 +78,19 @@
         try {
             files[k].close();
         } catch (IOException e) {
-            // it was only read
+            // opened for reading only: nothing is lost
         }
         files[k] = null;
     }
 
-    /** The first two figures of a line such as {@code 166460 3248939 2}. */
-    static void parse(byte[] line, int length, long[] into, int at) {
-        int which = 0;
-        for (int k = 0; k < length && which < 2; k++) {
+    /** Parses the first two numbers of a line such as {@code 166460 3248939 2}. */
+    static void parse(byte[] line, int length, long[] figures, int offset) {
+        int count = 0;
+        for (int k = 0; k < length && count < 2; k++) {
             if (line[k] >= '0' && line[k] <= '9') {
-                into[at + which] = into[at + which] * 10 + line[k] - '0';
+                figures[offset + count] = figures[offset + count] * 10 + line[k] - '0';
             } else {
-                which++;
+                count++;
             }
         }
     }
--- a/src/main/java/reedspring/net/Timers.java
+++ b/src/main/java/reedspring/net/Timers.java
@@ -6,10 +6,13 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 
-/** All that is due later, behind one alarm of the event loop: a query must not start a task of its own. */
+/**
+ * A queue of timers that uses a single scheduled task of the event loop, since one task for each query would
+ * cost too much. Times are in ticks; one tick is a tenth of a millisecond.
+ */
 final class Timers {
-    /** The loop wakes up to a millisecond late for its alarms. */
-    private static final long LATE = 30;
+    /** In ticks. The loop wakes up to a millisecond late for scheduled tasks, so less is no delay. */
+    private static final long NORMAL_LATENESS_TICKS = 30;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -17,25 +20,26 @@
     private final Limits limits;
     private final StallProbe probe;
     private final Turns turns;
-    private final Runnable read = this::read;
+    private final Runnable runAfterSocketReads = this::runAfterSocketReads;
     private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            Comparator.comparingLong((Due due) -> due.at).thenComparingLong(due -> due.order));
-    private long order;
-    private Future<?> alarm;
-    private long alarmAt = Long.MAX_VALUE;
-    private long behindSince = Long.MAX_VALUE;
-    private boolean readFirst;
+            Comparator.comparingLong((Due due) -> due.dueAt).thenComparingLong(due -> due.sequence));
+    private long nextSequence;
+    private Future<?> loopTask;
+    private long loopTaskAt = Long.MAX_VALUE;
+    private long overdueSince = Long.MAX_VALUE;
+    private boolean readSocketsFirst;
     private boolean stopped;
 
+    /** A scheduled timer, which can be cancelled. */
     static final class Due {
-        private final long at;
-        private final long order;
-        private final Runnable what;
+        private final long dueAt;
+        private final long sequence;
+        private final Runnable action;
 
-        private Due(long at, long order, Runnable what) {
-            this.at = at;
-            this.order = order;
-            this.what = what;
+        private Due(long dueAt, long sequence, Runnable action) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
+            this.action = action;
         }
     }
 
@@ -46,32 +50,35 @@
         this.limits = limits;
         this.probe = probe;
         this.turns = turns;
-        turns.afterReading(read);
+        turns.afterReading(runAfterSocketReads);
     }
 
-    Due at(long time, Runnable what) {
-        Due due = new Due(time, order++, what);
+    /** Runs the action at a time of {@link Clock#now}. */
+    Due at(long time, Runnable action) {
+        Due due = new Due(time, nextSequence++, action);
         if (!stopped) {
             queue.add(due);
-            arm();
+            scheduleLoopTask();
         }
         return due;
     }
 
-    /** Nothing is due any more. For a front that ends while its loop goes on with others. */
+    /** Cancels all timers and accepts no more: the front stops while its loop goes on serving others. */
     void stop() {
         stopped = true;
         queue.clear();
-        turns.noMore(read);
-        if (alarm != null) {
-            alarm.cancel(false);
+        turns.removeAfterReading(runAfterSocketReads);
+        if (loopTask != null) {
+            loopTask.cancel(false);
         }
     }
 
-    Due in(long tenths, Runnable what) {
-        return at(clock.now() + tenths, what);
+    /** Runs the action after a delay in ticks. */
+    Due in(long delayTicks, Runnable action) {
+        return at(clock.now() + delayTicks, action);
     }
 
+    /** @param due may be null, which does nothing */
     void cancel(Due due) {
         if (due != null) {
             queue.remove(due);
@@ -79,66 +86,67 @@
     }
 
     /**
-     * When what is read now may have come at the earliest. An overdue timer shows that the loop, or the whole
-     * process, stood still, and what is read after that may have waited as long.
+     * Lower bound of the arrival time of data that is read now. An overdue timer shows that the loop or the
+     * whole process was stalled, and data read after that may have waited as long.
      */
     long earliestArrival() {
-        long now = Math.min(clock.now(), behindSince);
-        return queue.isEmpty() ? now : Math.min(now, queue.peek().at);
+        long now = Math.min(clock.now(), overdueSince);
+        return queue.isEmpty() ? now : Math.min(now, queue.peek().dueAt);
     }
 
-    private void arm() {
-        if (queue.isEmpty() || queue.peek().at >= alarmAt) {
+    private void scheduleLoopTask() {
+        if (queue.isEmpty() || queue.peek().dueAt >= loopTaskAt) {
             return;
         }
-        if (alarm != null) {
-            alarm.cancel(false);
+        if (loopTask != null) {
+            loopTask.cancel(false);
         }
-        alarmAt = queue.peek().at;
-        alarm = loop.schedule(this::ring, Math.max(0, alarmAt - clock.now()) * 100, TimeUnit.MICROSECONDS);
+        loopTaskAt = queue.peek().dueAt;
+        loopTask = loop.schedule(this::onLoopTask, Math.max(0, loopTaskAt - clock.now()) * 100,
+                TimeUnit.MICROSECONDS);
     }
 
-    private void ring() {
-        alarmAt = Long.MAX_VALUE;
-        alarm = null;
-        long behind = queue.isEmpty() ? 0 : clock.now() - queue.peek().at;
-        if (behind > LATE) {
-            // What came meanwhile may still be unread.
-            behindSince = Math.min(behindSince, queue.peek().at);
+    private void onLoopTask() {
+        loopTaskAt = Long.MAX_VALUE;
+        loopTask = null;
+        long latenessTicks = queue.isEmpty() ? 0 : clock.now() - queue.peek().dueAt;
+        if (latenessTicks > NORMAL_LATENESS_TICKS) {
+            // Data that arrived during the stall may still be unread.
+            overdueSince = Math.min(overdueSince, queue.peek().dueAt);
         }
-        if (behind > limits.stoodStill * 10L) {
-            // Who owes an answer, or nothing for too long, shows only once all that has come is read: a stop
-            // of this process must not pass for the others' silence.
-            readFirst = true;
-            alarmAt = Long.MIN_VALUE;
-            alarm = loop.schedule(() -> { }, 1, TimeUnit.NANOSECONDS);
+        if (latenessTicks > limits.stoodStill * 10L) {
+            // A timeout of a peer can be judged only once all data that has arrived is read: a pause of
+            // this process must not be taken for silence of the peers. So timers run after the sockets.
+            readSocketsFirst = true;
+            loopTaskAt = Long.MIN_VALUE;
+            loopTask = loop.schedule(() -> { }, 1, TimeUnit.NANOSECONDS);
         } else {
             runDue();
         }
     }
 
-    private void read() {
-        if (readFirst) {
-            readFirst = false;
-            alarmAt = Long.MAX_VALUE;
-            alarm = null;
+    private void runAfterSocketReads() {
+        if (readSocketsFirst) {
+            readSocketsFirst = false;
+            loopTaskAt = Long.MAX_VALUE;
+            loopTask = null;
             runDue();
         }
-        behindSince = Long.MAX_VALUE;
+        overdueSince = Long.MAX_VALUE;
     }
 
     private void runDue() {
-        for (long now = clock.now(); !queue.isEmpty() && queue.peek().at <= now; ) {
+        for (long now = clock.now(); !queue.isEmpty() && queue.peek().dueAt <= now; ) {
             probe.begin("alarm");
             try {
-                queue.poll().what.run();
+                queue.poll().action.run();
             } catch (RuntimeException | Error e) {
-                // Whatever failed, the alarm below has to be set again: without it nothing ends in time.
+                // A failing timer must not keep the task below from being scheduled, or none would run again.
                 log.fault("a timer failed", e);
             } finally {
                 probe.end();
             }
         }
-        arm();
+        scheduleLoopTask();
     }
 }
--- a/src/main/java/reedspring/net/Turns.java
+++ b/src/main/java/reedspring/net/Turns.java
@@ -14,63 +14,68 @@
 import java.util.List;
 
 /**
- * The turns of one event loop: says when a turn has read the sockets that were ready. The loop's own tasks
- * can't tell, as what is due at once may still run in the turn that scheduled it.
+ * Numbers the turns (iterations) of one event loop and runs callbacks once a turn has read all ready sockets.
+ * A task of the loop can't serve as such a callback, as a task that is due at once may still run in the turn
+ * that scheduled it.
  */
 final class Turns implements IoHandlerFactory {
-    private final IoHandlerFactory sockets = NioIoHandler.newFactory();
+    private final IoHandlerFactory nioFactory = NioIoHandler.newFactory();
     private final List<Runnable> afterReading = new ArrayList<>();
     private StallProbe probe;
-    private long number;
-    private long pollBegan = System.nanoTime();
-    private long previousPollBegan = pollBegan;
+    private long turnNumber;
+    private long pollStartNanos = System.nanoTime();
+    private long previousPollStartNanos = pollStartNanos;
 
-    /** Of this turn; each begins with a poll of all sockets. */
-    long number() {
-        return number;
+    /** Number of the current turn. Each turn begins with a poll of all sockets. */
+    long turnNumber() {
+        return turnNumber;
     }
 
-    /** When the poll of the turn before this one began, in nanoseconds of the steady clock. */
-    long previousPollBegan() {
-        return previousPollBegan;
+    /** Start of the previous turn's poll, in nanoseconds of the monotonic clock. */
+    long previousPollStartNanos() {
+        return previousPollStartNanos;
     }
 
-    /** On the loop's thread only, like all that it calls. Each is called, in the order in which they came. */
-    void afterReading(Runnable what) {
-        afterReading.add(what);
+    /**
+     * Adds a callback that runs in every turn after the ready sockets have been read, in order of addition.
+     * Both this method and the callbacks run on the loop's thread only.
+     */
+    void afterReading(Runnable callback) {
+        afterReading.add(callback);
     }
 
-    void noMore(Runnable what) {
-        afterReading.remove(what);
+    /** Removes a callback that {@link #afterReading} added. */
+    void removeAfterReading(Runnable callback) {
+        afterReading.remove(callback);
     }
 
-    /** From its next turn on. */
-    void watchedBy(StallProbe watcher) {
-        probe = watcher;
+    /** Has the probe measure the turns, from the next one on. */
+    void watchedBy(StallProbe stallProbe) {
+        probe = stallProbe;
     }
 
-    /** For which the loop may wait in its selector, in nanoseconds. */
-    private static long mayWait(IoHandlerContext context) {
+    /** How long the loop may wait in its selector, in nanoseconds. */
+    private static long maxWaitNanos(IoHandlerContext context) {
         return context.canBlock() ? context.delayNanos(System.nanoTime()) : 0;
     }
 
-    /** One socket, whose reads and writes count as one thing done in a turn. */
-    private final class Watched implements NioIoHandle {
-        private final NioIoHandle socket;
+    /** Wraps a socket's handle so that the probe measures each of its I/O events as one unit of work. */
+    private final class MeasuredHandle implements NioIoHandle {
+        private final NioIoHandle delegate;
 
-        Watched(NioIoHandle socket) {
-            this.socket = socket;
+        MeasuredHandle(NioIoHandle socket) {
+            this.delegate = socket;
         }
 
         @Override
         public void handle(IoRegistration registration, IoEvent event) {
             if (probe == null) {
-                socket.handle(registration, event);
+                delegate.handle(registration, event);
                 return;
             }
             probe.begin("socket");
             try {
-                socket.handle(registration, event);
+                delegate.handle(registration, event);
             } finally {
                 probe.end();
             }
@@ -78,42 +83,42 @@
 
         @Override
         public SelectableChannel selectableChannel() {
-            return socket.selectableChannel();
+            return delegate.selectableChannel();
         }
 
         @Override
         public void registered() {
-            socket.registered();
+            delegate.registered();
         }
 
         @Override
         public void unregistered() {
-            socket.unregistered();
+            delegate.unregistered();
         }
 
         @Override
         public void close() throws Exception {
-            socket.close();
+            delegate.close();
         }
     }
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        IoHandler made = sockets.newHandler(executor);
+        IoHandler nioHandler = nioFactory.newHandler(executor);
         return new IoHandler() {
             @Override
             public int run(IoHandlerContext context) {
                 if (probe != null) {
-                    probe.turn(mayWait(context));
+                    probe.beginTurn(maxWaitNanos(context));
                 }
-                number++;
-                previousPollBegan = pollBegan;
-                pollBegan = System.nanoTime();
-                int handled = made.run(context);
+                turnNumber++;
+                previousPollStartNanos = pollStartNanos;
+                pollStartNanos = System.nanoTime();
+                int handled = nioHandler.run(context);
                 if (probe != null) {
-                    probe.read();
+                    probe.socketsRead();
                 }
-                // By number: one of them may end its front, and take itself out.
+                // By index, as a callback may stop its front and remove itself from the list.
                 for (int k = 0; k < afterReading.size(); k++) {
                     afterReading.get(k).run();
                 }
@@ -122,32 +127,33 @@
 
             @Override
             public void initialize() {
-                made.initialize();
+                nioHandler.initialize();
             }
 
             @Override
             public void prepareToDestroy() {
-                made.prepareToDestroy();
+                nioHandler.prepareToDestroy();
             }
 
             @Override
             public void destroy() {
-                made.destroy();
+                nioHandler.destroy();
             }
 
             @Override
             public IoRegistration register(IoHandle handle) throws Exception {
-                return made.register(handle instanceof NioIoHandle socket ? new Watched(socket) : handle);
+                return nioHandler.register(
+                        handle instanceof NioIoHandle nio ? new MeasuredHandle(nio) : handle);
             }
 
             @Override
             public void wakeup() {
-                made.wakeup();
+                nioHandler.wakeup();
             }
 
             @Override
             public boolean isCompatible(Class<? extends IoHandle> type) {
-                return made.isCompatible(type);
+                return nioHandler.isCompatible(type);
             }
         };
     }
--- a/src/main/java/reedspring/settings/Ini.java
+++ b/src/main/java/reedspring/settings/Ini.java
@@ -18,21 +18,22 @@
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
 /**
- * An INI file that is read by what is asked of it: each key has a kind and a range, what was never asked for
- * is a fault, and all faults are told together, by line, section and key. Values are decoded once, here.
+ * A validating INI reader. Callers request each key with its type and range; a key that was never requested
+ * is an error. All errors are collected and reported together, with line, section and key.
  */
 public final class Ini {
     private static final Pattern SIZE = Pattern.compile("([0-9]{1,15})\\s*(B|kB|MB|GB|TB)?");
-    private static final Pattern SPAN = Pattern.compile("([0-9]{1,12})\\s*(ms|s|min|h|d)");
-    private static final Pattern PART = Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,3})?)\\s*%");
+    private static final Pattern DURATION = Pattern.compile("([0-9]{1,12})\\s*(ms|s|min|h|d)");
+    private static final Pattern PERCENTAGE = Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,3})?)\\s*%");
 
     private final String name;
     private final List<String> lines;
     private final INIConfiguration file;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> requestedKeys = new HashSet<>();
     private final Set<String> sections = new HashSet<>();
     private final List<String> faults = new ArrayList<>();
 
+    /** Reads and parses the file; {@link #end} completes the validation. */
     public Ini(Path path) throws SettingsException {
         name = path.getFileName().toString();
         file = new INIConfiguration();
@@ -47,25 +48,25 @@
         }
     }
 
-    /** Whether there is such a section; without it nothing of it is switched on. */
+    /** Whether the file has the section. A feature whose section is absent stays disabled. */
     public boolean has(String section) {
         sections.add(section);
         return file.getSections().contains(section);
     }
 
-    /** All sections, in the order of the file. */
+    /** Names of all sections, in the order of the file. */
     public List<String> sections() {
         return file.getSections().stream().filter(section -> section != null).toList();
     }
 
-    /** Any text without a comma, or {@code otherwise}. */
-    public String any(String section, String key, String otherwise) {
-        return text(section, key, otherwise);
+    /** Any text without a comma; {@code defaultValue} if absent. */
+    public String any(String section, String key, String defaultValue) {
+        return text(section, key, defaultValue);
     }
 
-    /** Bytes: {@code 64MB}, by powers of 1024. */
-    public long size(String section, String key, long otherwise, long least, long most) {
-        return number(section, key, otherwise, least, most, text -> {
+    /** A size such as {@code 64MB} in bytes; units are powers of 1024. */
+    public long size(String section, String key, long defaultValue, long minimum, long maximum) {
+        return number(section, key, defaultValue, minimum, maximum, text -> {
             Matcher m = SIZE.matcher(text);
             if (!m.matches()) {
                 return null;
@@ -76,10 +77,10 @@
         }, "a size such as 64MB");
     }
 
-    /** Tenths of a millisecond: {@code 30s}. */
-    public long span(String section, String key, long otherwise, long least, long most) {
-        return number(section, key, otherwise, least, most, text -> {
-            Matcher m = SPAN.matcher(text);
+    /** A duration such as {@code 30s}, in ticks; one tick is a tenth of a millisecond. */
+    public long span(String section, String key, long defaultValue, long minimum, long maximum) {
+        return number(section, key, defaultValue, minimum, maximum, text -> {
+            Matcher m = DURATION.matcher(text);
             return !m.matches() ? null : (Long) (Long.parseLong(m.group(1)) * switch (m.group(2)) {
                 case "ms" -> 10L;
                 case "s" -> 10_000L;
@@ -90,122 +91,128 @@
         }, "a time such as 30s");
     }
 
-    public long count(String section, String key, long otherwise, long least, long most) {
-        return number(section, key, otherwise, least, most,
+    /** A whole number. */
+    public long count(String section, String key, long defaultValue, long minimum, long maximum) {
+        return number(section, key, defaultValue, minimum, maximum,
                 text -> text.matches("[0-9]{1,15}") ? (Long) Long.parseLong(text) : null, "a whole number");
     }
 
-    /** From 0 to 1: {@code 25%}. */
-    public double part(String section, String key, double otherwise) {
+    /** A percentage such as {@code 25%}, as a ratio from 0 to 1. */
+    public double part(String section, String key, double defaultValue) {
         String text = text(section, key, null);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
-        Matcher m = PART.matcher(text);
+        Matcher m = PERCENTAGE.matcher(text);
         if (!m.matches() || Double.parseDouble(m.group(1)) > 100) {
-            fault(section, key, "'" + text + "' is no part such as 25%");
-            return otherwise;
+            fault(section, key, "'" + text + "' is not a percentage such as 25%");
+            return defaultValue;
         }
         return Double.parseDouble(m.group(1)) / 100;
     }
 
-    private long number(String section, String key, long otherwise, long least, long most,
-                        Function<String, Long> read, String wanted) {
+    private long number(String section, String key, long defaultValue, long minimum, long maximum,
+                        Function<String, Long> parser, String expected) {
         String text = text(section, key, null);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
-        Long value = read.apply(text);
+        Long value = parser.apply(text);
         if (value == null) {
-            fault(section, key, "'" + text + "' is no " + wanted.replaceFirst("^an? ", ""));
-        } else if (value < least || value > most) {
+            fault(section, key, "'" + text + "' is not a " + expected.replaceFirst("^an? ", ""));
+        } else if (value < minimum || value > maximum) {
             fault(section, key, "'" + text + "' is out of range");
         } else {
             return value;
         }
-        return otherwise;
+        return defaultValue;
     }
 
-    /** One of these words. */
-    public String word(String section, String key, String otherwise, List<String> words) {
-        String text = text(section, key, otherwise);
+    /** One of the given words. */
+    public String word(String section, String key, String defaultValue, List<String> words) {
+        String text = text(section, key, defaultValue);
         if (text != null && !words.contains(text)) {
-            fault(section, key, "'" + text + "' is none of " + String.join(", ", words));
-            return otherwise;
+            fault(section, key, "'" + text + "' is not one of " + String.join(", ", words));
+            return defaultValue;
         }
         return text;
     }
 
-    /** A file or folder; a relative name counts from where the front was started. Null if it is not given. */
-    public Path path(String section, String key, boolean wanted) {
+    /** A path, relative to the working directory of the front; null if the key is absent. */
+    public Path path(String section, String key, boolean required) {
         String text = text(section, key, null);
-        if (text == null && wanted) {
+        if (text == null && required) {
             fault(section, key, "missing");
         }
         return text == null ? null : Path.of(text);
     }
 
-    private String text(String section, String key, String otherwise) {
-        asked.add(section + "." + key);
+    private String text(String section, String key, String defaultValue) {
+        requestedKeys.add(section + "." + key);
         if (!has(section)) {
-            return otherwise;
+            return defaultValue;
         }
         List<Object> values = file.getSection(section).getList(key);
         if (values.size() > 1) {
             fault(section, key, "given " + values.size() + " times");
-            return otherwise;
+            return defaultValue;
         }
         if (values.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
         String text = String.valueOf(values.get(0)).trim();
         if (text.isEmpty()) {
             fault(section, key, "empty");
-            return otherwise;
+            return defaultValue;
         }
         return text;
     }
 
-    public void fault(String section, String key, String what) {
-        faults.add(name + " line " + line(section, key) + ": [" + section + "] " + key + ": " + what);
+    /** Adds an error about a key; an empty key stands for the section. */
+    public void fault(String section, String key, String message) {
+        faults.add(name + " line " + line(section, key) + ": [" + section + "] " + key + ": " + message);
     }
 
-    /** The last line that gives the key in its section, else the section's own, else 1. */
+    /** Number of the last line with the key in its section, else of the section's header, else 1. */
     private int line(String section, String key) {
         int found = 1;
-        String in = "";
+        String currentSection = "";
         for (int k = 0; k < lines.size(); k++) {
             String line = lines.get(k).trim();
             if (line.startsWith("[") && line.contains("]")) {
-                in = line.substring(1, line.indexOf(']')).trim();
-                found = in.equals(section) ? k + 1 : found;
-            } else if (in.equals(section) && line.split("[=:]", 2)[0].trim().equals(key)) {
+                currentSection = line.substring(1, line.indexOf(']')).trim();
+                found = currentSection.equals(section) ? k + 1 : found;
+            } else if (currentSection.equals(section) && line.split("[=:]", 2)[0].trim().equals(key)) {
                 found = k + 1;
             }
         }
         return found;
     }
 
-    /** To be called last: throws all faults, with what nobody asked for among them. */
+    /**
+     * Ends the validation; has to be called last.
+     *
+     * @throws SettingsException with all errors, including sections and keys that were never requested
+     */
     public void end() throws SettingsException {
         for (String section : file.getSections()) {
             if (section == null) {
                 file.getKeys().forEachRemaining(key -> {
                     if (!key.contains(".")) {
-                        fault("", key, "stands before the first section");
+                        fault("", key, "precedes the first section");
                     }
                 });
                 continue;
             }
             if (!sections.contains(section)) {
-                fault(section, "", "no such section");
+                fault(section, "", "unknown section");
                 continue;
             }
-            SubnodeConfiguration held = file.getSection(section);
-            for (Iterator<String> keys = held.getKeys(); keys.hasNext(); ) {
+            SubnodeConfiguration sectionNode = file.getSection(section);
+            for (Iterator<String> keys = sectionNode.getKeys(); keys.hasNext(); ) {
                 String key = keys.next();
-                if (!asked.contains(section + "." + key)) {
-                    fault(section, key.replace("..", "."), "no such key");
+                if (!requestedKeys.contains(section + "." + key)) {
+                    fault(section, key.replace("..", "."), "unknown key");
                 }
             }
         }
--- a/src/main/java/reedspring/settings/SettingsException.java
+++ b/src/main/java/reedspring/settings/SettingsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The settings file can't be used; a line for each fault. */
+/** The settings file can't be used; the message has one line for each error. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
     private final List<String> faults;
@@ -12,6 +12,7 @@
         this.faults = List.copyOf(faults);
     }
 
+    /** One message for each error. */
     public List<String> faults() {
         return faults;
     }
--- a/src/main/java/reedspring/settings/StandingOrders.java
+++ b/src/main/java/reedspring/settings/StandingOrders.java
@@ -8,34 +8,39 @@
 import reedspring.spool.Terms;
 
 /**
- * What an installation switches on beyond the platform's configuration, from its own INI file. A part that
- * has no section is null and stays off.
+ * An installation's optional features, from its own INI file. A feature without a section in the file is null
+ * and stays disabled. Times are in ticks; one tick is a tenth of a millisecond.
  *
  * @param jsonLog whether log lines are JSON objects
+ * @param spool settings of the spool that keeps answers, or null
  */
 public record StandingOrders(boolean jsonLog, SpoolOrders spool) {
-    private static final long MS = 10;
-    private static final long S = 1000 * MS;
-    private static final long DAY = 86_400 * S;
+    private static final long TICKS_PER_MS = 10;
+    private static final long TICKS_PER_SECOND = 1000 * TICKS_PER_MS;
+    private static final long TICKS_PER_DAY = 86_400 * TICKS_PER_SECOND;
     private static final long KB = 1 << 10;
     private static final long MB = 1 << 20;
     private static final long GB = 1 << 30;
-    /** What a page of an engine holds at most, as its protocol says. */
+    /** Maximum size of an engine's page, as its protocol defines it. */
     private static final int PAGE_BYTES = 6_000;
 
     /**
-     * @param folder where answers are kept
-     * @param keys for the handles; the first seals
-     * @param group tenths of a millisecond that a commit waits for others at most
+     * Settings of the spool.
+     *
+     * @param folder directory of the kept answers
+     * @param keys keys of the handles; the first one signs new handles
+     * @param terms limits and lifetimes of kept answers
+     * @param group maximum time in ticks for which a commit waits for others to join it
      */
     public record SpoolOrders(Path folder, List<byte[]> keys, Terms terms, long group) {
-        /** Keys are no business of a log's. */
+        /** Leaves the keys out, so that they can't get into a log. */
         @Override
         public String toString() {
             return "spool in " + folder + ", " + keys.size() + " keys, " + terms;
         }
     }
 
+    /** Reads and validates a settings file. */
     public static StandingOrders read(Path file) throws SettingsException {
         Ini ini = new Ini(file);
         boolean json = ini.word("log", "format", "plain", List.of("plain", "json")).equals("json");
@@ -45,45 +50,49 @@
     }
 
     private static SpoolOrders spool(Ini ini) {
-        String in = "spool";
-        if (!ini.has(in)) {
+        String section = "spool";
+        if (!ini.has(section)) {
             return null;
         }
-        Path folder = ini.path(in, "folder", true);
+        Path folder = ini.path(section, "folder", true);
         if (folder != null && !Files.isDirectory(folder)) {
-            ini.fault(in, "folder", folder + " is no folder");
+            ini.fault(section, "folder", folder + " is not a directory");
         }
         List<byte[]> keys = new ArrayList<>();
-        key(ini, in, "key_file", true, keys);
-        key(ini, in, "old_key_file", false, keys);
-        long total = ini.size(in, "total", GB, 4 * MB, 16 * 1024 * GB);
-        long segment = ini.size(in, "segment", Math.max(MB, Math.min(64 * MB, total / 16)), 64 * KB, GB);
-        long longest = ini.size(in, "longest_answer", Math.min(256 * MB, total / 16), 64 * KB, total);
+        readKey(ini, section, "key_file", true, keys);
+        readKey(ini, section, "old_key_file", false, keys);
+        long total = ini.size(section, "total", GB, 4 * MB, 16 * 1024 * GB);
+        long segment = ini.size(section, "segment", Math.max(MB, Math.min(64 * MB, total / 16)), 64 * KB, GB);
+        long longest = ini.size(section, "longest_answer", Math.min(256 * MB, total / 16), 64 * KB, total);
         if (segment > total / 4) {
-            ini.fault(in, "segment", "over a quarter of the total, which then can't be cleared in parts");
+            ini.fault(section, "segment", "larger than a quarter of total, too large to free space in parts");
         }
-        double headroom = ini.part(in, "headroom", 0.1);
+        double headroom = ini.part(section, "headroom", 0.1);
         if (headroom > 0.9) {
-            ini.fault(in, "headroom", "nothing is left to the others");
+            ini.fault(section, "headroom", "leaves no space for other answers");
         }
-        long firstRest = ini.span(in, "first_rest", S, 10 * MS, 600 * S);
-        Terms terms = new Terms(total, ini.part(in, "tenant_part", 0.25), headroom,
-                ini.span(in, "keep", 600 * S, S, 30 * DAY), longest, PAGE_BYTES, segment,
-                ini.size(in, "waiting", 4 * MB, 64 * KB, GB), (int) ini.count(in, "reads", 256, 1, 10_000),
-                (int) ini.count(in, "tenant_reads", 128, 1, 10_000), firstRest,
-                ini.span(in, "longest_rest", Math.max(60 * S, firstRest), firstRest, 3_600 * S));
-        return new SpoolOrders(folder, keys, terms, ini.span(in, "group_commit", 5 * MS, 0, S));
+        long firstRest = ini.span(section, "first_rest", TICKS_PER_SECOND, 10 * TICKS_PER_MS,
+                600 * TICKS_PER_SECOND);
+        Terms terms = new Terms(total, ini.part(section, "tenant_part", 0.25), headroom,
+                ini.span(section, "keep", 600 * TICKS_PER_SECOND, TICKS_PER_SECOND, 30 * TICKS_PER_DAY),
+                longest, PAGE_BYTES, segment, ini.size(section, "waiting", 4 * MB, 64 * KB, GB),
+                (int) ini.count(section, "reads", 256, 1, 10_000),
+                (int) ini.count(section, "tenant_reads", 128, 1, 10_000), firstRest,
+                ini.span(section, "longest_rest", Math.max(60 * TICKS_PER_SECOND, firstRest), firstRest,
+                        3_600 * TICKS_PER_SECOND));
+        return new SpoolOrders(folder, keys, terms,
+                ini.span(section, "group_commit", 5 * TICKS_PER_MS, 0, TICKS_PER_SECOND));
     }
 
-    private static void key(Ini ini, String section, String name, boolean wanted, List<byte[]> keys) {
-        Path file = ini.path(section, name, wanted);
+    private static void readKey(Ini ini, String section, String name, boolean required, List<byte[]> keys) {
+        Path file = ini.path(section, name, required);
         if (file == null) {
             return;
         }
         try {
             byte[] key = Files.readAllBytes(file);
             if (key.length < 16 || key.length > 4096) {
-                ini.fault(section, name, "16 to 4096 bytes are wanted, there are " + key.length);
+                ini.fault(section, name, "16 to 4096 bytes are required, the size is " + key.length);
             }
             keys.add(key);
         } catch (IOException e) {
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -115,8 +115,8 @@
                         coldDay("cold-unheeded"), "cold engine pushed over"),
                 new Mutant("wall-clock-believed", List.of(
                         new Change("net/Clock.java",
-                                "EngineStartTime.estimate(ms * 10, now(), unix.getAsLong())",
-                                "EngineStartTime.estimate(0, 0, 0) + now() + ms * 10 - unix.getAsLong()"),
+                                "EngineStartTime.estimate(ms * 10, now(), unixTicks.getAsLong())",
+                                "EngineStartTime.estimate(0, 0, 0) + now() + ms * 10 - unixTicks.getAsLong()"),
                         new Change("net/Journal.java", "EngineStartTime.ofNewEngine(estimate, lastHeard)",
                                 "EngineStartTime.ofNewEngine(estimate, 0)")),
                         coldDay("wall-clock-believed"), "cold engine pushed over"),
@@ -148,8 +148,8 @@
                                 + "            whole = true;\n", day("command-torn"),
                         "sent what no client had sent|no answer|past its time"),
                 new Mutant("signals-wait", "net/Reloads.java",
-                        "        wanted = true;\n        notifyAll();\n",
-                        "        wanted = true;\n        java.util.concurrent.locks.LockSupport.parkNanos("
+                        "        requested = true;\n        notifyAll();\n",
+                        "        requested = true;\n        java.util.concurrent.locks.LockSupport.parkNanos("
                                 + "800_000_000L);\n        notifyAll();\n",
                         day("signals-wait", trouble(What.SIGNALS, 1, 6, 1), trouble(What.LEAVE, 2, 3.7, 1)),
                         "had not ended"),
@@ -157,13 +157,13 @@
                         "            table.set(null, ", "            table.get(table); Object none = (",
                         day("thread-for-each-signal", trouble(What.NO_THREADS, 1, 6, 1),
                                 trouble(What.LEAVE, 2, 3.7, 1)), "had not ended"),
-                new Mutant("selector-once", "net/Startup.java", "new StartAttempts(30, REST_MS)",
-                        "new StartAttempts(1, REST_MS)", restarts("selector-once"), DID_NOT_START),
-                new Mutant("configuration-once", "net/Startup.java", "new StartAttempts(50, REST_MS)",
-                        "new StartAttempts(1, REST_MS)", restarts("configuration-once"), DID_NOT_START),
+                new Mutant("selector-once", "net/Startup.java", "new StartAttempts(30, RETRY_DELAY_MS)",
+                        "new StartAttempts(1, RETRY_DELAY_MS)", restarts("selector-once"), DID_NOT_START),
+                new Mutant("configuration-once", "net/Startup.java", "new StartAttempts(50, RETRY_DELAY_MS)",
+                        "new StartAttempts(1, RETRY_DELAY_MS)", restarts("configuration-once"), DID_NOT_START),
                 new Mutant("registration-believed", List.of(
-                        new Change("net/SocketReads.java", "if (told || !socket.isActive())",
-                                "if (told || socket.isActive())"),
+                        new Change("net/SocketReads.java", "if (selectorReported || !socket.isActive())",
+                                "if (selectorReported || socket.isActive())"),
                         new Change("net/AcceptGuard.java", "listener == null || !listener.isActive()",
                                 "listener == null || listener.isActive()")),
                         restarts("registration-believed"), "no answer|past its time|lost unanswered"));
--- a/src/test/java/reedspring/net/ReloadsTest.java
+++ b/src/test/java/reedspring/net/ReloadsTest.java
@@ -41,7 +41,7 @@
         CountDownLatch read = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         reloads.start();
-        reloads.by(() -> {
+        reloads.enable(() -> {
             String held = file.get();
             read.countDown();
             if (!held.equals("last")) {
@@ -65,7 +65,7 @@
         reloads.request();
         reloads.request();
         reloads.start();
-        reloads.by(() -> done.incrementAndGet() > 0);
+        reloads.enable(() -> done.incrementAndGet() > 0);
         await("the first", () -> done.get() == 1);
         Thread.sleep(REST_MS);
         assertEquals(1, done.get());
@@ -78,7 +78,7 @@
         AtomicInteger done = new AtomicInteger();
         CountDownLatch goOn = new CountDownLatch(1);
         reloads.start();
-        reloads.by(() -> {
+        reloads.enable(() -> {
             hold(goOn);
             return done.incrementAndGet() > 0;
         });
@@ -96,7 +96,7 @@
     void aFileThatCanNotBeReadIsReadAgainAtAPaceOfItsOwn() throws Exception {
         AtomicInteger tries = new AtomicInteger();
         reloads.start();
-        reloads.by(() -> tries.incrementAndGet() == 4);
+        reloads.enable(() -> tries.incrementAndGet() == 4);
         long began = System.nanoTime();
         for (int k = 0; k < SIGNALS; k++) {
             reloads.request();
@@ -111,7 +111,7 @@
     void aFaultInOneEndsNoOther() throws Exception {
         AtomicInteger tries = new AtomicInteger();
         reloads.start();
-        reloads.by(() -> {
+        reloads.enable(() -> {
             if (tries.incrementAndGet() == 1) {
                 throw new OutOfMemoryError("forced");
             }
@@ -128,7 +128,7 @@
         CountDownLatch runs = new CountDownLatch(1);
         Reloads stuck = new Reloads();
         stuck.start();
-        stuck.by(() -> {
+        stuck.enable(() -> {
             runs.countDown();
             hold(goOn);
             return true;
--- a/src/test/java/reedspring/net/StallProbeTest.java
+++ b/src/test/java/reedspring/net/StallProbeTest.java
@@ -36,11 +36,11 @@
         });
         return new StallProbe(log, 50, () -> now, new ThreadTimes() {
             @Override
-            void findLoop() {
+            void findLoopThread() {
             }
 
             @Override
-            void findOthers() {
+            void findOtherThreads() {
             }
 
             @Override
@@ -61,12 +61,12 @@
     void aTurnThatWaitsAsLongAsItMayIsNoStall() throws Exception {
         StallProbe probe = probe();
         for (int k = 0; k < 200; k++) {
-            probe.turn(250 * MS);
+            probe.beginTurn(250 * MS);
             passes(k % 2 == 0 ? 250 : 30);
             probe.begin("socket");
             passes(10, 10);
             probe.end();
-            probe.read();
+            probe.socketsRead();
             passes(20, 20);
         }
         assertTrue(lines.isEmpty(), lines::toString);
@@ -75,12 +75,12 @@
     @Example
     void whatComesTooLateCountsFromWhenItWasDue() throws Exception {
         StallProbe probe = probe();
-        probe.turn(100 * MS);
+        probe.beginTurn(100 * MS);
         passes(400, 0, 290);
         probe.begin("alarm");
         probe.end();
-        probe.read();
-        probe.turn(0);
+        probe.socketsRead();
+        probe.beginTurn(0);
         assertEquals(1, lines.size());
         assertTrue(lines.get(0).startsWith("event loop stalled, waiting for a processor: 300 ms; in 400 ms "
                 + "ran 0, queued 290; "), lines.get(0));
@@ -90,7 +90,7 @@
     @Example
     void theLongestWorkAndDecisionOfALongTurnAreNamed() throws Exception {
         StallProbe probe = probe();
-        probe.turn(250 * MS);
+        probe.beginTurn(250 * MS);
         passes(10);
         probe.begin("socket");
         passes(5, 5);
@@ -102,14 +102,14 @@
         probe.decided(began, "an event");
         passes(30, 30);
         probe.end();
-        probe.read();
-        probe.turn(0);
+        probe.socketsRead();
+        probe.beginTurn(0);
         assertTrue(lines.get(0).startsWith("event loop stalled, long turn: 115 ms; in 125 ms ran 115, "),
                 lines.get(0));
         assertTrue(lines.get(0).contains("longest engine answer 110, String 80; "), lines.get(0));
         // The turn after it is told nothing of.
         passes(20, 20);
-        probe.turn(0);
+        probe.beginTurn(0);
         assertEquals(1, lines.size());
     }
 
@@ -118,12 +118,12 @@
     void oneLineInASpanAndTheSumsInTheNext() throws Exception {
         StallProbe probe = probe();
         for (int k = 0; k < 20; k++) {
-            probe.turn(0);
+            probe.beginTurn(0);
             passes(100);
         }
         log.sum();
         assertEquals("event loop stalled, stopped or blocked: ", lines.get(1));
-        probe.turn(0);
+        probe.beginTurn(0);
         assertEquals(3, lines.size());
         assertTrue(lines.get(2).endsWith("; 20 so far, 2000 ms"), lines.get(2));
     }
@@ -142,7 +142,7 @@
     }
 
     private static long[] spent(long... ms) {
-        long[] all = new long[ThreadTimes.FIGURES];
+        long[] all = new long[ThreadTimes.FIGURE_COUNT];
         for (int k = 0; k < ms.length; k++) {
             all[k] = ms[k] * MS;
         }
--- a/src/test/java/reedspring/settings/SettingsTest.java
+++ b/src/test/java/reedspring/settings/SettingsTest.java
@@ -70,12 +70,12 @@
                 [lok]
                 format = json
                 """);
-        for (String fault : List.of("line 2: [spool] folder: /no/such/folder is no folder",
-                "line 3: [spool] key_file: can't be read", "line 5: [spool] total: 'much' is no size",
-                "line 6: [spool] tenant_part: '150%' is no part",
-                "line 7: [spool] keep: '5 weeks' is no time",
-                "line 8: [spool] reads: '0' is out of range", "line 9: [spool] reads_at_once: no such key",
-                "line 11: [spool] waiting: given 2 times", "line 12: [lok] : no such section")) {
+        for (String fault : List.of("line 2: [spool] folder: /no/such/folder is not a directory",
+                "line 3: [spool] key_file: can't be read", "line 5: [spool] total: 'much' is not a size",
+                "line 6: [spool] tenant_part: '150%' is not a percentage",
+                "line 7: [spool] keep: '5 weeks' is not a time",
+                "line 8: [spool] reads: '0' is out of range", "line 9: [spool] reads_at_once: unknown key",
+                "line 11: [spool] waiting: given 2 times", "line 12: [lok] : unknown section")) {
             assertTrue(faults.stream().anyMatch(f -> f.contains("own.ini " + fault)), fault + " in "
                     + faults);
         }
