--- a/src/main/java/reedspring/net/Clock.java
+++ b/src/main/java/reedspring/net/Clock.java
@@ -40,6 +40,7 @@
      * The start time of an engine, in ticks, as reported by another machine's system clock.
      *
      * @param ms 0 or less if the engine started long ago
+     * @return an estimate by this clock, or 0 for long ago
      */
     long ofUnixMs(long ms) {
         return ms <= 0 ? 0 : EngineStartTime.estimate(ms * 10, now(), unixTicks.getAsLong());
--- a/src/main/java/reedspring/net/Reloads.java
+++ b/src/main/java/reedspring/net/Reloads.java
@@ -118,7 +118,8 @@
     }
 
     /**
-     * Sleeps for the whole time, whether or not signals arrive, so that they can't raise the rate of reads.
+     * Waits for the whole delay unless the thread has to finish. Signals don't shorten it, so that they can't
+     * raise the rate of reads.
      *
      * @return whether another reload has been requested meanwhile
      */
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -85,7 +85,8 @@
             Channel listener = BIND_ATTEMPTS.call(() -> bind(loop, front, configuration),
                     failure -> isUnavailable(failure) && !termination.isRequested());
             if (!reloadsEnabled) {
-                front.log().line("SIGHUP is ignored by the parent process, no reload is heard", "");
+                front.log().line("SIGHUP is inherited as ignored from the parent process, no reload is heard",
+                        "");
             }
             if (!dispatchedWithoutThreads) {
                 front.log().line("each signal starts a new thread",
@@ -190,7 +191,7 @@
     }
 
     private static StartedFront startFront(EventLoop loop, Turns turns, FrontConfiguration configuration,
-                                 OptionalFeatures features, Termination termination)
+                                           OptionalFeatures features, Termination termination)
             throws InterruptedException, BootException {
         try {
             return loop.submit(() -> {
--- a/src/main/java/reedspring/net/ThreadTimes.java
+++ b/src/main/java/reedspring/net/ThreadTimes.java
@@ -24,7 +24,7 @@
     private final byte[] text = new byte[64];
     private final RandomAccessFile[] files = new RandomAccessFile[FIGURE_COUNT / 2];
 
-    /** Opens the file of the calling thread; {@link #findOthers} opens the others. */
+    /** Opens the file of the calling thread; {@link #findOtherThreads} opens the others. */
     void findLoopThread() {
         try {
             files[0] = open(Files.readSymbolicLink(Path.of("/proc/thread-self")).getFileName().toString());
@@ -57,7 +57,7 @@
         return new RandomAccessFile(new File(TASK_DIRECTORY.resolve(task).toFile(), "schedstat"), "r");
     }
 
-    /** Reads all {@link #FIGURES}, in nanoseconds since each thread's start; 0 if not available. */
+    /** Reads all {@link #FIGURE_COUNT} values, in nanoseconds since each thread's start; 0 if not available. */
     void read(long[] figures) {
         for (int k = 0; k < files.length; k++) {
             figures[2 * k] = 0;
--- a/src/main/java/reedspring/net/Timers.java
+++ b/src/main/java/reedspring/net/Timers.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A queue of timers that uses a single scheduled task of the event loop, since one task for each query would
- * cost too much. Times are in ticks; one tick is a tenth of a millisecond.
+ * A queue of timers behind a single scheduled task of the event loop, as one such task for each query would
+ * be too expensive. Times are in ticks; one tick is a tenth of a millisecond.
  */
 final class Timers {
-    /** In ticks. The loop wakes up to a millisecond late for scheduled tasks, so less is no delay. */
+    /** Lateness up to which a timer is on time; the loop itself wakes up to a millisecond late. */
     private static final long NORMAL_LATENESS_TICKS = 30;
 
     private final EventLoop loop;
