--- a/src/main/java/reedspring/net/ThreadTimes.java
+++ b/src/main/java/reedspring/net/ThreadTimes.java
@@ -57,7 +57,7 @@
         return new RandomAccessFile(new File(TASK_DIRECTORY.resolve(task).toFile(), "schedstat"), "r");
     }
 
-    /** Reads all {@link #FIGURE_COUNT} values, in nanoseconds since each thread's start; 0 if not available. */
+    /** Reads all {@link #FIGURE_COUNT} values, in nanoseconds since each thread began; 0 if unavailable. */
     void read(long[] figures) {
         for (int k = 0; k < files.length; k++) {
             figures[2 * k] = 0;
