--- a/src/test/java/reedspring/net/FailingCallsIT.java
+++ b/src/test/java/reedspring/net/FailingCallsIT.java
@@ -23,7 +23,7 @@
     private static final int MANY_FAILURES = 1_000;
     /** A front has to be ready within 10 s, and a start that fails for good ends well before. */
     private static final int START_S = 10;
-    /** Several of the front's periodic checks of its sockets, with a margin for a busy machine. */
+    /** Two of the front's periodic checks of its sockets, with a margin for a busy machine. */
     private static final long REPAIRED_WITHIN_MS = 1_500;
     private static final long DEADLINE_TOLERANCE_MS = 20;
     private static final int SIGNALS = 3_000;
--- a/src/test/java/reedspring/net/ReloadsTest.java
+++ b/src/test/java/reedspring/net/ReloadsTest.java
@@ -93,7 +93,7 @@
 
     /** No further signal may announce the file, and signals must not shorten the delay between attempts. */
     @Example
-    void unreadableFileIsRetriedAtAFixedPace() throws Exception {
+    void unreadableFileIsRetriedAtItsOwnPace() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         reloads.start();
         reloads.enable(() -> attempts.incrementAndGet() == 4);
