--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -25,1132 +25,1288 @@
 import reedspring.spread.Spread;
 
 /**
- * All decisions of one front. Make one at the front's start, then hand each event to {@link #on} with the
- * clock of its arrival; what has to be done comes out of the consumer, in order, before the call returns. The
- * interface is the package {@code reedspring.api}: {@link Event} in, {@link Action} out, {@link Deployment}
- * once. Not for use by several threads. Times are whole tenths of a millisecond. Reasons: docs/design.md.
+ * Makes all scheduling decisions of one front: admission, choice of engine, resubmission, load shedding and
+ * final answers. Create one when the front starts, then pass each event to {@link #on} with its time of
+ * arrival; the resulting actions are passed to the consumer, in order, before the call returns. The interface
+ * is the package {@code reedspring.api}: {@link Event} as input, {@link Action} as output, {@link Deployment}
+ * as configuration. Does no I/O and reads no clock. Not thread-safe. Times are in ticks: whole tenths of a
+ * millisecond. The reasons for the algorithms are in docs/design.md.
  *
- * <p>The parts are the desk (queue, gate and final answers), an actor for each engine and a purse for each
- * tenant. They talk by notes in inboxes only; an engine's row in the arrays is written by its actor alone.
+ * <p>The work is divided among actors: the scheduler (queues, concurrency limit and final answers), one for
+ * each engine and one account for each tenant. They communicate only by messages in their inboxes, and an
+ * engine's entries in the per-engine arrays are written only by its own actor.
  */
 public final class Control {
-    private static final long MS = 10;
-    private static final long SECOND = 1000 * MS;
-
-    // The ordinary path, as the design page words it.
-    private static final long USAGE_WINDOW = 20 * SECOND;
-    private static final int USAGE_SLOTS = 20;
-    private static final int REFRESHES = 2;
-    private static final int RESCORE_AT_MOST = 64;
+    private static final long TICKS_PER_MS = 10;
+    private static final long TICKS_PER_SECOND = 1000 * TICKS_PER_MS;
+
+    // Queueing and dispatch, as specified in docs/design.md.
+    private static final long USAGE_WINDOW_TICKS = 20 * TICKS_PER_SECOND;
+    private static final int USAGE_WINDOW_SLOTS = 20;
+    private static final int MAX_HEAD_RESCORES = 2;
+    private static final int MAX_QUEUED_FOR_FULL_RESCORE = 64;
     private static final double THREADS_PER_CORE = 2;
 
-    private static final double MOST_OF_ONE_GROUP = 0.75;
-    // The bound's moves. Under half of its start the cores of an engine would idle whatever the mix.
-    private static final double CALM = 0.6;
-    private static final double LEAST_BOUND = 0.6;
-    private static final double USUAL_STRETCH = 1.1;
-    private static final double ONE_STEP = 0.7;
-    private static final long FIRST_ANSWERS = 3 * SECOND;
-    private static final long ARRIVALS_WINDOW = 5 * SECOND;
-    private static final double BUSY_SHARE = 0.6;
-    // A share of one or two long queries, never passed, leaves engines idle while queries wait: what stood
-    // unused of it, up to a long query, may be used later. The sum of all fronts is the same on average, but
-    // a burst lets all of them use theirs at once, and what of memory is then too much is not soon over.
-    private static final double UNUSED_KEPT = 1;
-    private static final double UNUSED_MEMORY_KEPT = 0.5;
-    private static final double MEMORY_PART = 0.8;
-    private static final double SCATTER = 2;
-    private static final double MOST_OF_ONE_QUERY = 0.5;
-
-    // Health. At most half of the fleet may be barred: past that the trouble is not the engines'.
-    private static final double MOST_BARRED = 0.5;
-    private static final double FAULTY = 0.55;
-    private static final Set<Outcome> BAD =
+    private static final double MAX_GROUP_THREADS_RATIO = 0.75;
+    // Adaptation of the concurrency limit. Below half of the initial limit an engine's cores would idle with
+    // any mix of queries.
+    private static final double LOW_LOAD_RATIO = 0.6;
+    private static final double MIN_LIMIT_RATIO = 0.6;
+    private static final double TOLERATED_SLOWDOWN_RATIO = 1.1;
+    private static final double MAX_LOG_SLOWDOWN_STEP = 0.7;
+    private static final long CALIBRATION_TICKS = 3 * TICKS_PER_SECOND;
+    private static final long ARRIVALS_WINDOW_TICKS = 5 * TICKS_PER_SECOND;
+    private static final double ARRIVAL_SHARE_RATIO = 0.6;
+    // A front's share may be as small as one or two long queries. Enforced strictly, it leaves engines idle
+    // while queries wait, so unused capacity, up to that of one long query, is credited for later. The
+    // fronts' total stays the same on average, but in a burst all of them may spend their credit at once.
+    // Less of the memory is credited, as an engine takes long to recover from too little memory.
+    private static final double MAX_THREAD_CREDIT_RATIO = 1;
+    private static final double MAX_MEMORY_CREDIT_RATIO = 0.5;
+    private static final double MAX_MEMORY_RATIO = 0.8;
+    private static final double MEMORY_MARGIN_SIGMAS = 2;
+    private static final double MAX_QUERY_MEMORY_RATIO = 0.5;
+
+    // Outlier ejection. At most half of the engines may be ejected: if more look unhealthy, the cause is
+    // unlikely to be the engines.
+    private static final double MAX_EJECTED_RATIO = 0.5;
+    private static final double EJECTION_ERROR_RATE = 0.55;
+    private static final Set<Outcome> ERROR_OUTCOMES =
             Set.of(Outcome.ERROR, Outcome.BROKEN, Outcome.UNREACHABLE, Outcome.TURNED_AWAY);
-    private static final long FIRST_BAR = SECOND / 2;
-    private static final long LONGEST_BAR = 4 * SECOND;
-    private static final long SILENCE = SECOND;
-    private static final long GRACE = 300 * MS;
-    // A trial of an engine that crawls stays on it.
-    private static final long FIRST_CRAWL = 5 * SECOND;
-    private static final long LONGEST_CRAWL = 20 * SECOND;
-    // Where a front takes few queries and many engines are barred, trials would take them all.
-    private static final int QUERIES_A_TRIAL = 8;
-    private static final double SLOWER = 1.4;
-    private static final long LONGEST_GHOST = 10 * SECOND;
-
-    private static final double COMES_LAST = 1e6;
-
-    private static final long PULSE = 25 * MS;
-    private static final long LAST_CALL = 60 * MS;
-    // From a submission's departure until its engine has it, at the most.
-    private static final long ARRIVAL = 20 * MS;
-    private static final Id.Timer PULSE_TIMER = new Id.Timer(1);
-
-    private final Deployment house;
+    private static final long MIN_EJECTION_TICKS = TICKS_PER_SECOND / 2;
+    private static final long MAX_EJECTION_TICKS = 4 * TICKS_PER_SECOND;
+    private static final long MIN_SILENCE_TICKS = TICKS_PER_SECOND;
+    private static final long OVERDUE_GRACE_TICKS = 300 * TICKS_PER_MS;
+    // A thrashing engine is probed less often, because a probe query gets stuck on it.
+    private static final long MIN_THRASHING_EJECTION_TICKS = 5 * TICKS_PER_SECOND;
+    private static final long MAX_THRASHING_EJECTION_TICKS = 20 * TICKS_PER_SECOND;
+    // With few queries and many ejected engines, every query would otherwise become a probe.
+    private static final int MIN_ARRIVALS_PER_PROBE = 8;
+    private static final double TOLERATED_ENGINE_SLOWDOWN_RATIO = 1.4;
+    private static final long MAX_ABANDONED_RUN_TICKS = 10 * TICKS_PER_SECOND;
+
+    // Added to an engine's load so that it is chosen only if there is no other.
+    private static final double LAST_RESORT_PENALTY = 1e6;
+
+    private static final long PERIOD_TICKS = 25 * TICKS_PER_MS;
+    // A final answer is sent this long before the client stops waiting for it.
+    private static final long ANSWER_MARGIN_TICKS = 60 * TICKS_PER_MS;
+    // Upper bound of the time from the departure of a submission to its arrival at the engine.
+    private static final long MAX_TRANSIT_TICKS = 20 * TICKS_PER_MS;
+    private static final Id.Timer PERIODIC_TIMER = new Id.Timer(1);
+
+    private final Deployment deployment;
     private final Spread spread;
-    private final ArrayDeque<Part> turns = new ArrayDeque<>();
-    private final Desk desk;
-    private final List<Engine> fleet = new ArrayList<>();
-    private final Map<Id.Engine, Engine> byId = new HashMap<>();
-    // Rows whose engines have gone. Something may still refer to them.
-    private final BitSet goneRows = new BitSet();
-    private final Purse[] purses;
-    private Consumer<Action> out;
-    private final long bornAt;
-    private double usualPace;
-    private double usualFaults;
+    // One entry for each message that has not been handled, in the order in which they were posted.
+    private final ArrayDeque<Actor> pendingActors = new ArrayDeque<>();
+    private final Scheduler scheduler;
+    private final List<Engine> engines = new ArrayList<>();
+    private final Map<Id.Engine, Engine> enginesById = new HashMap<>();
+    // Rows of engines that have left the list; queries and abandoned runs may still refer to them.
+    private final BitSet removedRows = new BitSet();
+    // By the tenant's index; the last one is for queries without a known tenant.
+    private final TenantAccount[] tenantAccounts;
+    private Consumer<Action> actionSink;
+    private final long createdAt;
+    private double medianLogSlowdown;
+    private double medianErrorRate;
     private long now;
 
-    // One row for each engine ever listed, under its dense index.
+    // Per-engine state, indexed by the engine's row: a dense index that is reused after the engine has gone.
+    // The "own" values count only this front's submissions. The slowdown is the ratio of measured thread time
+    // to the work of the query; it is kept as its natural logarithm, NaN as long as none was measured.
     private double[] cores = new double[8];
     private double[] memoryMb = new double[8];
     private int[] ownThreads = new int[8];
-    private double[] ownMemory = new double[8];
+    private double[] ownMemoryMb = new double[8];
     private int[] ownQueries = new int[8];
     private boolean[] up = new boolean[8];
-    private long[] startedAt = new long[8];
-    private double[] pace = new double[8];
-    private double[] faults = new double[8];
-    private boolean[] barred = new boolean[8];
-
-    public Control(long seed, Deployment house, long now, Consumer<Action> out) {
-        this.house = house;
-        this.spread = new Spread(seed, house, now);
-        this.desk = new Desk();
-        this.purses = new Purse[house.tenants().size() + 1];
-        Arrays.setAll(purses, Purse::new);
+    private long[] engineStartedAt = new long[8];
+    private double[] engineLogSlowdown = new double[8];
+    private double[] errorRate = new double[8];
+    private boolean[] ejected = new boolean[8];
+
+    public Control(long seed, Deployment deployment, long now, Consumer<Action> actions) {
+        this.deployment = deployment;
+        this.spread = new Spread(seed, deployment, now);
+        this.scheduler = new Scheduler();
+        this.tenantAccounts = new TenantAccount[deployment.tenants().size() + 1];
+        Arrays.setAll(tenantAccounts, TenantAccount::new);
         this.now = now;
-        this.bornAt = now;
-        this.out = out;
-        if (house.discovery().mustAsk()) {
-            out.accept(new Action.FollowEngines());
+        this.createdAt = now;
+        this.actionSink = actions;
+        if (deployment.discovery().mustAsk()) {
+            actions.accept(new Action.FollowEngines());
         }
-        out.accept(new Action.WakeMe(PULSE_TIMER, spread.first(PULSE)));
+        actions.accept(new Action.WakeMe(PERIODIC_TIMER, spread.firstDelay(PERIOD_TICKS)));
     }
 
-    /** Takes one event at its time and emits what follows from it. */
+    /** Handles one event that arrived at the given time and emits the resulting actions. */
     public void on(long time, Event event, Consumer<Action> actions) {
         now = Math.max(now, time);
-        out = actions;
-        if (event instanceof Event.EnginesListed list) {
-            listed(list);
+        actionSink = actions;
+        if (event instanceof Event.EnginesListed enginesListed) {
+            updateEngines(enginesListed);
         } else if (event instanceof Event.Closed closed) {
-            Query q = desk.queries.get(closed.query());
-            if (q != null && q.outAt >= 0 && q.submissions - 1 == closed.submission().value()) {
-                post(fleet.get(q.outAt), engine -> engine.ended(q, closed));
+            Query q = scheduler.queries.get(closed.query());
+            if (q != null && q.runningOn >= 0 && q.submissions - 1 == closed.submission().value()) {
+                post(engines.get(q.runningOn), engine -> engine.onClosed(q, closed));
             }
-        } else if (event instanceof Event.ShareDone share) {
-            Query q = desk.queries.get(share.query());
-            if (q != null && q.outAt >= 0 && q.submissions - 1 == share.submission().value()) {
-                post(fleet.get(q.outAt), engine -> engine.progress(q, share));
+        } else if (event instanceof Event.ShareDone progress) {
+            Query q = scheduler.queries.get(progress.query());
+            if (q != null && q.runningOn >= 0 && q.submissions - 1 == progress.submission().value()) {
+                post(engines.get(q.runningOn), engine -> engine.onProgress(q, progress));
             }
         } else if (event instanceof Event.LoadReported report) {
-            Engine engine = byId.get(report.engine());
+            Engine engine = enginesById.get(report.engine());
             if (engine != null) {
-                post(engine, part -> spread.heard(part.at, report.load(), now));
+                post(engine, actor -> spread.loadReported(actor.row, report.load(), now));
             }
         } else {
-            post(desk, part -> part.word(event));
+            post(scheduler, actor -> actor.onEvent(event));
         }
-        for (Part part = turns.poll(); part != null; part = turns.poll()) {
-            part.inbox.poll().run();
+        for (Actor actor = pendingActors.poll(); actor != null; actor = pendingActors.poll()) {
+            actor.inbox.poll().run();
         }
     }
 
-    // ---- notes and parts
+    // ---- actors and messages
 
-    private abstract static class Part {
+    /** A part of the state that is changed only by the messages in its inbox. */
+    private abstract static class Actor {
         final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
     }
 
-    private <P extends Part> void post(P to, Consumer<P> note) {
-        to.inbox.add(() -> note.accept(to));
-        turns.add(to);
+    /** Queues a message; messages are handled in the order in which they were posted. */
+    private <P extends Actor> void post(P actor, Consumer<P> message) {
+        actor.inbox.add(() -> message.accept(actor));
+        pendingActors.add(actor);
     }
 
-    /** A query from its arrival until it is answered and nothing of it is out. */
+    /**
+     * A query, kept from its arrival until it has its final answer and no submission is outstanding. Engines
+     * are named by their rows, -1 for none.
+     */
     private static final class Query {
         private Id.Query id;
         private int group;
         private int tenant;
         private Id.OrderKey key;
         private Id.DataSet dataSet;
-        private long order;
-        private long leavesAt;
-        private long target;
-        private boolean told;
+        private long arrivalNumber;
+        private long clientDeadline;
+        private long targetDeadline;
+        private boolean hasEstimate;
+        // Estimated thread time on an unloaded engine, in ticks.
         private double work;
         private double needMb;
         private int threads;
         private int submissions;
-        private int outAt = -1;
-        private int sentTo = -1;
+        private int runningOn = -1;
+        private int lastSentTo = -1;
         private long sentAt;
-        private int avoid = -1;
+        private int failedOn = -1;
         private boolean answered;
         private boolean streaming;
         private boolean cancelled;
-        private long notedAt;
-        private long notedUnseen;
-        private double share;
+        private long progressAt;
+        // How much earlier the last progress report may have arrived than it was read.
+        private long progressUncertainty;
+        // The completed fraction by the last progress report.
+        private double progress;
         private long overdueAt = Long.MAX_VALUE;
-        private int ranAt = -1;
-        private long ranSince;
-        private boolean unclear;
-        private boolean lost;
-        private boolean crowdedOut;
-        private boolean late;
+        // The first submission that may have run: its engine, and when it was sent.
+        private int firstRanOn = -1;
+        private long firstRanSince;
+        private boolean mayStillRun;
+        // Its resources were released before the submission ended.
+        private boolean writtenOff;
+        private boolean waitsForMemory;
+        private boolean missesTarget;
     }
 
     // ---- engines
 
-    private void listed(Event.EnginesListed list) {
+    private void updateEngines(Event.EnginesListed list) {
         if (list.reading() != Event.Reading.CHANGES) {
-            Set<Id.Engine> named = list.entries().stream().map(Event.Listing::engine)
+            Set<Id.Engine> listedIds = list.entries().stream().map(Event.Listing::engine)
                     .collect(Collectors.toSet());
-            fleet.stream().filter(engine -> !engine.gone && !named.contains(engine.id))
-                    .forEach(engine -> post(engine, part -> part.listed(new Event.Listing(part.id, part.kind,
-                            part.zone, part.cell, Event.Health.GONE, 0))));
+            engines.stream().filter(engine -> !engine.gone && !listedIds.contains(engine.id))
+                    .forEach(engine -> post(engine,
+                    actor -> actor.onListed(new Event.Listing(actor.id, actor.kind,
+                            actor.zone, actor.cell, Event.Health.GONE, 0))));
         }
-        PrimitiveIterator.OfInt free = null;
+        PrimitiveIterator.OfInt reusable = null;
         for (Event.Listing listing : list.entries()) {
-            Engine engine = byId.get(listing.engine());
+            Engine engine = enginesById.get(listing.engine());
             if (engine == null && listing.health() != Event.Health.GONE) {
-                // No other row becomes free before the notes to the engines are read.
-                free = free == null ? freeRows(list.entries()) : free;
-                engine = new Engine(listing, free.hasNext() ? free.nextInt() : fleet.size());
-                if (engine.at < fleet.size()) {
-                    byId.remove(fleet.set(engine.at, engine).id);
+                // No other row becomes reusable before the messages to the engines are handled.
+                reusable = reusable == null ? reusableRows(list.entries()) : reusable;
+                engine = new Engine(listing, reusable.hasNext() ? reusable.nextInt() : engines.size());
+                if (engine.row < engines.size()) {
+                    enginesById.remove(engines.set(engine.row, engine).id);
                 } else {
-                    fleet.add(engine);
+                    engines.add(engine);
                 }
-                byId.put(engine.id, engine);
+                enginesById.put(engine.id, engine);
             }
             if (engine != null) {
-                post(engine, part -> part.listed(listing));
+                post(engine, actor -> actor.onListed(listing));
             }
         }
-        post(desk, Desk::release);
+        post(scheduler, Scheduler::dispatch);
     }
 
-    /** Rows to which nothing refers any more, in order: engines come and go while the front lives. */
-    private PrimitiveIterator.OfInt freeRows(List<Event.Listing> named) {
-        BitSet free = new BitSet();
-        goneRows.stream().filter(k -> ownQueries[k] == 0 && fleet.get(k).ghosts.isEmpty()).forEach(free::set);
-        if (!free.isEmpty()) {
-            desk.queries.values().forEach(q ->
-                    IntStream.of(q.avoid, q.ranAt).filter(k -> k >= 0).forEach(free::clear));
-            // One that comes back by this list keeps its row: it would be lost to a new one.
-            named.stream().filter(row -> row.health() != Event.Health.GONE && byId.containsKey(row.engine()))
-                    .forEach(row -> free.clear(byId.get(row.engine()).at));
+    /**
+     * Rows that nothing refers to any more, in ascending order. They are reused, because engines come and go
+     * during the life of a front.
+     */
+    private PrimitiveIterator.OfInt reusableRows(List<Event.Listing> listings) {
+        BitSet reusable = new BitSet();
+        removedRows.stream().filter(row -> ownQueries[row] == 0
+                && engines.get(row).abandonedRuns.isEmpty()).forEach(reusable::set);
+        if (!reusable.isEmpty()) {
+            scheduler.queries.values().forEach(q ->
+                    IntStream.of(q.failedOn, q.firstRanOn).filter(row -> row >= 0).forEach(reusable::clear));
+            // An engine that returns with this list keeps its row, which a new engine must not take.
+            listings.stream().filter(listing -> listing.health() != Event.Health.GONE
+                    && enginesById.containsKey(listing.engine()))
+                    .forEach(listing -> reusable.clear(enginesById.get(listing.engine()).row));
         }
-        return free.stream().iterator();
+        return reusable.stream().iterator();
     }
 
-    /** How many rows, queries and keys are held, for those who watch that none is kept for good. */
-    int held() {
-        return fleet.size() + desk.queries.size() + desk.lanes.size();
+    /** The number of rows, queries and order keys held in memory, for checks against leaks. */
+    int heldEntries() {
+        return engines.size() + scheduler.queries.size() + scheduler.keyQueues.size();
     }
 
-    /** A timed-out submission that an engine which heeds no cancel is still at work on. */
-    private record Ghost(long until, int threads, double needMb) { }
+    /** A timed-out submission that presumably still runs, on an engine that does not support cancellation. */
+    private record AbandonedRun(long until, int threads, double needMb) { }
 
-    /** One engine: takes submissions to it and keeps its row. */
-    private final class Engine extends Part {
-        private final int at;
+    /** One engine: sends submissions to it, tracks its health and maintains its row. */
+    private final class Engine extends Actor {
+        private final int row;
         private final Id.Engine id;
         private Id.Kind kind;
         private Id.Zone zone;
         private Id.Cell cell;
         private boolean gone;
-        private long bar = FIRST_BAR;
-        private long longestBar = LONGEST_BAR;
-        private long barredUntil;
-        private long heardAt;
-        // When a run here last ended in about its time.
-        private long wellAt = Long.MIN_VALUE;
-        private final List<Ghost> ghosts = new ArrayList<>();
-
-        Engine(Event.Listing listing, int at) {
-            this.at = at;
+        private long ejectionTicks = MIN_EJECTION_TICKS;
+        private long maxEjectionTicks = MAX_EJECTION_TICKS;
+        private long ejectedUntil;
+        private long lastHeardAt;
+        // When a query last finished here in about its expected runtime.
+        private long lastTimelyFinishAt = Long.MIN_VALUE;
+        private final List<AbandonedRun> abandonedRuns = new ArrayList<>();
+
+        Engine(Event.Listing listing, int row) {
+            this.row = row;
             this.id = listing.engine();
-            if (at == cores.length) {
-                grow(at * 2);
+            if (row == cores.length) {
+                growRows(row * 2);
             }
-            pace[at] = Double.NaN;
-            startedAt[at] = 0;
-            faults[at] = 0;
-            barred[at] = false;
+            engineLogSlowdown[row] = Double.NaN;
+            engineStartedAt[row] = 0;
+            errorRate[row] = 0;
+            ejected[row] = false;
         }
 
-        private void progress(Query q, Event.ShareDone note) {
-            heardAt = now;
-            post(desk, part -> part.progress(q, note));
+        private void onProgress(Query q, Event.ShareDone progress) {
+            lastHeardAt = now;
+            post(scheduler, actor -> actor.onProgress(q, progress));
         }
 
-        private void listed(Event.Listing listing) {
+        private void onListed(Event.Listing listing) {
             kind = listing.kind();
             zone = listing.zone();
             cell = listing.cell();
-            up[at] = listing.health() == Event.Health.UP;
+            up[row] = listing.health() == Event.Health.UP;
             gone = listing.health() == Event.Health.GONE;
-            goneRows.set(at, gone);
-            Deployment.Machine machine = house.machines().get(kind);
-            // An engine of unknown size counts as the mean of the known kinds, or as one query's threads.
-            cores[at] = machine != null && machine.cores() > 0 ? machine.cores()
-                    : house.machines().values().stream().mapToDouble(Deployment.Machine::cores)
-                            .filter(c -> c > 0).average().orElse(desk.mostThreads);
-            memoryMb[at] = machine == null ? 0 : machine.memoryMb();
-            spread.listed(at, id, cores[at], up[at]);
-            if (listing.startedAt() != startedAt[at] && up[at]) {
-                // A new process: what was held against the old one says nothing of it.
-                startedAt[at] = listing.startedAt();
-                pace[at] = Double.NaN;
-                faults[at] = 0;
-                barred[at] = false;
-                bar = FIRST_BAR;
-                longestBar = LONGEST_BAR;
-                spread.renewed(at, now);
+            removedRows.set(row, gone);
+            Deployment.Machine machine = deployment.machines().get(kind);
+            // An engine of unknown size is taken to have the mean number of cores of the known kinds or, if
+            // none is known, as many cores as the widest query has threads.
+            cores[row] = machine != null && machine.cores() > 0 ? machine.cores()
+                    : deployment.machines().values().stream().mapToDouble(Deployment.Machine::cores)
+                            .filter(c -> c > 0).average().orElse(scheduler.maxQueryThreads);
+            memoryMb[row] = machine == null ? 0 : machine.memoryMb();
+            spread.engineListed(row, id, cores[row], up[row]);
+            if (listing.startedAt() != engineStartedAt[row] && up[row]) {
+                // The process is new: the statistics of its predecessor do not apply.
+                engineStartedAt[row] = listing.startedAt();
+                engineLogSlowdown[row] = Double.NaN;
+                errorRate[row] = 0;
+                ejected[row] = false;
+                ejectionTicks = MIN_EJECTION_TICKS;
+                maxEjectionTicks = MAX_EJECTION_TICKS;
+                spread.engineRestarted(row, now);
             }
         }
 
-        private void carry(Query q) {
-            if (ownQueries[at] == 0) {
-                heardAt = now;
+        private void send(Query q) {
+            if (ownQueries[row] == 0) {
+                lastHeardAt = now;
             }
-            ownThreads[at] += q.threads;
-            ownMemory[at] += q.needMb;
-            ownQueries[at]++;
-            spread.sent(at, desk.usualWork[q.group] / desk.lightest());
-            if (house.allowed().priorities()
-                    && q.work / q.threads < house.groups().get(q.group).targetBase() / 2.0) {
-                out.accept(new Action.SetPriority(q.id, 2));
+            ownThreads[row] += q.threads;
+            ownMemoryMb[row] += q.needMb;
+            ownQueries[row]++;
+            spread.submissionSent(row, scheduler.typicalWork[q.group] / scheduler.lightestWork());
+            if (deployment.allowed().priorities()
+                    && q.work / q.threads < deployment.groups().get(q.group).targetBase() / 2.0) {
+                actionSink.accept(new Action.SetPriority(q.id, 2));
             }
-            out.accept(new Action.Submit(q.id, id, 0, desk.departBy(q)));
+            actionSink.accept(new Action.Submit(q.id, id, 0, scheduler.latestDeparture(q)));
         }
 
-        private void ended(Query q, Event.Closed closed) {
-            heardAt = now;
+        private void onClosed(Query q, Event.Closed closed) {
+            lastHeardAt = now;
             Outcome outcome = closed.outcome();
-            ownQueries[at]--;
-            spread.ended(at, closed.took());
-            if (outcome == Outcome.TIMED_OUT && !house.allowed().cancel() && !q.lost) {
-                double whole = q.work / q.threads * Math.exp(Double.isNaN(pace[at]) ? 0 : pace[at]);
-                long rest = (long) Math.min(LONGEST_GHOST, Math.max(whole - closed.took(), closed.took()));
-                ghosts.add(new Ghost(now + rest, q.threads, q.needMb));
-            } else if (!q.lost) {
-                free(q);
+            ownQueries[row]--;
+            spread.submissionEnded(row, closed.took());
+            if (outcome == Outcome.TIMED_OUT && !deployment.allowed().cancel() && !q.writtenOff) {
+                double expectedTicks = q.work / q.threads
+                        * Math.exp(Double.isNaN(engineLogSlowdown[row]) ? 0 : engineLogSlowdown[row]);
+                long remainingTicks = (long) Math.min(MAX_ABANDONED_RUN_TICKS,
+                        Math.max(expectedTicks - closed.took(), closed.took()));
+                abandonedRuns.add(new AbandonedRun(now + remainingTicks, q.threads, q.needMb));
+            } else if (!q.writtenOff) {
+                releaseResources(q);
             }
-            boolean bad = BAD.contains(outcome);
+            boolean isError = ERROR_OUTCOMES.contains(outcome);
             if (outcome == Outcome.FINISHED) {
-                faults[at] *= barred[at] ? 0.5 : 0.75;
-                wellAt = closed.took() - closed.unseen() <= 2 * desk.expected(q) + GRACE ? now : wellAt;
-                pace(closed, q, closed.work() > 0 ? closed.work() : q.work);
-            } else if (bad) {
-                faults[at] = Math.max(faults[at] + 0.25 * (1 - faults[at]),
-                        outcome == Outcome.UNREACHABLE ? FAULTY : 0);
+                errorRate[row] *= ejected[row] ? 0.5 : 0.75;
+                lastTimelyFinishAt = closed.took() - closed.unseen() <= 2 * scheduler.expectedRuntime(q)
+                        + OVERDUE_GRACE_TICKS ? now : lastTimelyFinishAt;
+                updateSlowdown(closed, q, closed.work() > 0 ? closed.work() : q.work);
+            } else if (isError) {
+                errorRate[row] = Math.max(errorRate[row] + 0.25 * (1 - errorRate[row]),
+                        outcome == Outcome.UNREACHABLE ? EJECTION_ERROR_RATE : 0);
             } else if (outcome == Outcome.TIMED_OUT
                     && (closed.took() - closed.unseen()) * q.threads > q.work) {
-                pace(closed, q, q.work);
+                updateSlowdown(closed, q, q.work);
             }
-            boolean fails = faults[at] >= FAULTY && faults[at] > 2 * median(faults);
-            if (!barred[at] && fails) {
-                bar("fails");
-            } else if (barred[at] && outcome == Outcome.FINISHED && !fails) {
-                barred[at] = false;
-                bar = FIRST_BAR;
-                longestBar = LONGEST_BAR;
-                out.accept(new Action.Remark("engine " + id.address() + " is back"));
-            } else if (barred[at]) {
-                bar = bad || outcome == Outcome.TIMED_OUT ? Math.min(longestBar, bar * 2) : bar;
-                barredUntil = now + spread.rest(at, bar, desk.lightest());
+            boolean failsTooOften = errorRate[row] >= EJECTION_ERROR_RATE
+                    && errorRate[row] > 2 * median(errorRate);
+            if (!ejected[row] && failsTooOften) {
+                eject("fails");
+            } else if (ejected[row] && outcome == Outcome.FINISHED && !failsTooOften) {
+                ejected[row] = false;
+                ejectionTicks = MIN_EJECTION_TICKS;
+                maxEjectionTicks = MAX_EJECTION_TICKS;
+                actionSink.accept(new Action.Remark("engine " + id.address() + " is back"));
+            } else if (ejected[row]) {
+                ejectionTicks = isError || outcome == Outcome.TIMED_OUT
+                        ? Math.min(maxEjectionTicks, ejectionTicks * 2)
+                        : ejectionTicks;
+                ejectedUntil = now + spread.probeDelay(row, ejectionTicks, scheduler.lightestWork());
             }
-            post(desk, part -> part.back(q, closed));
+            post(scheduler, actor -> actor.onClosed(q, closed));
         }
 
-        private void free(Query q) {
-            ownThreads[at] -= q.threads;
-            // Sums of fractions leave a rest, and on a free engine any query fits.
-            ownMemory[at] = ownThreads[at] <= 0 ? 0 : ownMemory[at] - q.needMb;
+        private void releaseResources(Query q) {
+            ownThreads[row] -= q.threads;
+            // Reset to 0 when the engine is free: a rounding error could keep a large query out.
+            ownMemoryMb[row] = ownThreads[row] <= 0 ? 0 : ownMemoryMb[row] - q.needMb;
         }
 
-        private void pace(Event.Closed closed, Query q, double work) {
+        private void updateSlowdown(Event.Closed closed, Query q, double work) {
             if (work > 0 && closed.took() > 0) {
-                double held = Double.isNaN(pace[at]) ? usualPace : pace[at];
-                double seen = Math.max(-1.5, Math.min(3, logOf(held, (closed.took() - closed.unseen())
+                double previous = Double.isNaN(engineLogSlowdown[row]) ? medianLogSlowdown
+                        : engineLogSlowdown[row];
+                double observed = Math.max(-1.5,
+                        Math.min(3, observedLogSlowdown(previous, (closed.took() - closed.unseen())
                         * q.threads, closed.took() * q.threads, work)));
-                pace[at] = Double.isNaN(pace[at]) ? Math.min(seen, 0.7) : pace[at] + 0.15 * (seen - pace[at]);
+                engineLogSlowdown[row] = Double.isNaN(engineLogSlowdown[row]) ? Math.min(observed, 0.7)
+                        : engineLogSlowdown[row] + 0.15 * (observed - engineLogSlowdown[row]);
             }
         }
 
-        /** An engine that holds overdue queries and says nothing takes no more for a time. */
-        private void look() {
-            ghosts.removeIf(ghost -> {
-                boolean done = now >= ghost.until();
-                ownThreads[at] -= done ? ghost.threads() : 0;
-                ownMemory[at] -= done ? ghost.needMb() : 0;
+        /**
+         * Drops abandoned runs that should have ended, and ejects the engine if it holds several stalled
+         * queries and has sent nothing for a while.
+         */
+        private void runPeriodicChecks() {
+            abandonedRuns.removeIf(run -> {
+                boolean done = now >= run.until();
+                ownThreads[row] -= done ? run.threads() : 0;
+                ownMemoryMb[row] -= done ? run.needMb() : 0;
                 return done;
             });
-            if (!barred[at] && now - heardAt >= Math.max(SILENCE, house.noteEvery() * 5 / 4)
-                    && desk.queries.values().stream().filter(q -> q.outAt == at && desk.stuck(q))
+            if (!ejected[row] && now - lastHeardAt >= Math.max(MIN_SILENCE_TICKS,
+                    deployment.noteEvery() * 5 / 4)
+                    && scheduler.queries.values().stream().filter(q -> q.runningOn == row
+                    && scheduler.isStalled(q))
                             .count() > 1) {
-                bar("is silent");
+                eject("is silent");
             }
         }
 
         /**
-         * An engine whose memory is full pages and ends nothing, while its notes go on. What crawls there
-         * would shut the gate to idle engines. Peers must have shown better meanwhile, the engine not.
+         * Ejects the engine if it appears to be thrashing: with its memory full it swaps and finishes
+         * nothing, although its progress reports continue. Queries stuck there would use up the concurrency
+         * limit while other engines idle. It is ejected only if it has finished nothing in time since the
+         * query was sent while more engines have than hold queries that are far overdue.
          */
-        private void crawls(Query q, int crawling) {
-            if (!barred[at] && wellAt < q.sentAt
-                    && fleet.stream().filter(e -> up[e.at] && e.wellAt >= q.sentAt).count() > crawling) {
-                bar = Math.max(bar, FIRST_CRAWL);
-                longestBar = LONGEST_CRAWL;
-                bar("crawls");
+        private void ejectIfThrashing(Query q, int enginesWithOverdue) {
+            if (!ejected[row] && lastTimelyFinishAt < q.sentAt
+                    && engines.stream().filter(e -> up[e.row]
+                    && e.lastTimelyFinishAt >= q.sentAt).count() > enginesWithOverdue) {
+                ejectionTicks = Math.max(ejectionTicks, MIN_THRASHING_EJECTION_TICKS);
+                maxEjectionTicks = MAX_THRASHING_EJECTION_TICKS;
+                eject("crawls");
             }
         }
 
-        private void bar(String why) {
-            long all = IntStream.range(0, fleet.size()).filter(k -> up[k]).count();
-            if (overOpen(k -> 1) - 1 >= all * (1 - MOST_BARRED)) {
-                barred[at] = true;
-                barredUntil = now + spread.rest(at, bar, desk.lightest());
-                out.accept(new Action.Remark("engine " + id.address() + " " + why + ", barred"));
+        /** Sends the engine nothing but probes for a time, unless too many are ejected already. */
+        private void eject(String reason) {
+            long upCount = IntStream.range(0, engines.size()).filter(k -> up[k]).count();
+            if (sumOverAvailable(k -> 1) - 1 >= upCount * (1 - MAX_EJECTED_RATIO)) {
+                ejected[row] = true;
+                ejectedUntil = now + spread.probeDelay(row, ejectionTicks, scheduler.lightestWork());
+                actionSink.accept(new Action.Remark("engine " + id.address() + " " + reason + ", barred"));
             }
         }
     }
 
-    private void grow(int size) {
+    private void growRows(int size) {
         cores = Arrays.copyOf(cores, size);
         memoryMb = Arrays.copyOf(memoryMb, size);
         ownThreads = Arrays.copyOf(ownThreads, size);
-        ownMemory = Arrays.copyOf(ownMemory, size);
+        ownMemoryMb = Arrays.copyOf(ownMemoryMb, size);
         ownQueries = Arrays.copyOf(ownQueries, size);
         up = Arrays.copyOf(up, size);
-        startedAt = Arrays.copyOf(startedAt, size);
-        pace = Arrays.copyOf(pace, size);
-        faults = Arrays.copyOf(faults, size);
-        barred = Arrays.copyOf(barred, size);
+        engineStartedAt = Arrays.copyOf(engineStartedAt, size);
+        engineLogSlowdown = Arrays.copyOf(engineLogSlowdown, size);
+        errorRate = Arrays.copyOf(errorRate, size);
+        ejected = Arrays.copyOf(ejected, size);
     }
 
-    private double overOpen(IntToDoubleFunction figure) {
-        return IntStream.range(0, fleet.size()).filter(k -> up[k] && !barred[k]).mapToDouble(figure).sum();
+    /** Sums a per-engine value over the engines that are up and not ejected. */
+    private double sumOverAvailable(IntToDoubleFunction valueOfRow) {
+        return IntStream.range(0, engines.size()).filter(row -> up[row]
+                && !ejected[row]).mapToDouble(valueOfRow).sum();
     }
 
-    /** Over the listed engines; 0 if none has a figure. */
-    private double median(double[] figures) {
-        double[] known = IntStream.range(0, fleet.size()).filter(k -> up[k] && !Double.isNaN(figures[k]))
-                .mapToDouble(k -> figures[k]).sorted().toArray();
+    /** The median over the engines that are up and have a value; 0 if none has. */
+    private double median(double[] values) {
+        double[] known = IntStream.range(0, engines.size()).filter(row -> up[row]
+                && !Double.isNaN(values[row]))
+                .mapToDouble(row -> values[row]).sorted().toArray();
         return known.length == 0 ? 0 : known[(known.length - 1) / 2];
     }
 
-    private boolean cold(int at) {
-        return startedAt[at] > 0 && now - startedAt[at] < house.coldStart().ramp();
+    private boolean isCold(int row) {
+        return engineStartedAt[row] > 0 && now - engineStartedAt[row] < deployment.coldStart().ramp();
     }
 
-    /** The log of time to work. Of a time that the front could not see whole, because it stood still itself,
-     * the end that is nearest to what is held: its own lag must not pass for an engine's. */
-    private static double logOf(double held, double least, double most, double work) {
-        double per = Math.max(1, work);
-        return Math.max(Math.log(Math.max(1, least) / per),
-                Math.min(Math.log(Math.max(1, most) / per), held));
+    /**
+     * The logarithm of measured thread time divided by work. If the front was stalled itself, the time is
+     * known only as a range; the value of that range that is nearest to the current estimate is taken, so
+     * that the front's own lag is not attributed to an engine.
+     */
+    private static double observedLogSlowdown(double current, double minTicks, double maxTicks, double work) {
+        double divisor = Math.max(1, work);
+        return Math.max(Math.log(Math.max(1, minTicks) / divisor),
+                Math.min(Math.log(Math.max(1, maxTicks) / divisor), current));
     }
 
-    /** The part of its cores that a cold engine has by what is told of its ramp; 1 for any other. */
-    private double warmth(int at) {
-        double from = house.coldStart().from();
-        return !cold(at) ? 1
-                : from + (1 - from) * Math.max(0, now - startedAt[at]) / house.coldStart().ramp();
+    /** The usable fraction of a cold engine's cores according to the configured ramp; 1 for a warm engine. */
+    private double rampFraction(int row) {
+        double initial = deployment.coldStart().from();
+        return !isCold(row) ? 1
+                : initial + (1 - initial) * Math.max(0, now - engineStartedAt[row])
+                / deployment.coldStart().ramp();
     }
 
-    /** How much longer than its work a query runs there: by what was seen, or else by its ramp. */
-    private double slowness(int at) {
-        return Double.isNaN(pace[at]) ? 1 / warmth(at) : Math.exp(pace[at]);
+    /**
+     * The expected ratio of thread time to work on the engine: as measured, or else derived from its ramp.
+     */
+    private double expectedSlowdown(int row) {
+        return Double.isNaN(engineLogSlowdown[row]) ? 1 / rampFraction(row)
+                : Math.exp(engineLogSlowdown[row]);
     }
 
-    /** Cores at the pace shown against the peers': a slow, crowded, failing or cold engine counts less. */
-    private double worth(int at) {
-        double part = warmth(at);
-        if (!Double.isNaN(pace[at])) {
-            part *= Math.max(0.15, Math.min(1, SLOWER / Math.exp(pace[at] - usualPace)));
+    /**
+     * The engine's cores, reduced if it is cold, slower than the median engine (or overloaded) or fails more
+     * often than it.
+     */
+    private double effectiveCores(int row) {
+        double ratio = rampFraction(row);
+        if (!Double.isNaN(engineLogSlowdown[row])) {
+            ratio *= Math.max(0.15, Math.min(1,
+                    TOLERATED_ENGINE_SLOWDOWN_RATIO / Math.exp(engineLogSlowdown[row] - medianLogSlowdown)));
         }
-        return cores[at] * part * (1 - Math.max(0, faults[at] - usualFaults));
+        return cores[row] * ratio * (1 - Math.max(0, errorRate[row] - medianErrorRate));
     }
 
     // ---- tenants
 
-    /** A tenant's measured usage in a sliding window. */
-    private final class Purse extends Part {
-        private final double[] slots = new double[USAGE_SLOTS];
+    /** A tenant's queue, its recent usage in a sliding window and its query rate. */
+    private final class TenantAccount extends Actor {
+        private final double[] slots = new double[USAGE_WINDOW_SLOTS];
         private long slot;
-        private double sum;
+        private double usedWork;
         private final double share;
-        private final double rate;
-        private final ArrayDeque<Query> line = new ArrayDeque<>();
-        private double score;
-        private double allowance;
+        private final double queriesPerSecond;
+        private final ArrayDeque<Query> queue = new ArrayDeque<>();
+        private double queueScore;
+        private double rateTokens;
         private long refilledAt;
 
-        Purse(int tenant) {
-            Deployment.Tenant known = tenant < house.tenants().size() ? house.tenants().get(tenant) : null;
-            share = known != null && known.share() > 0 ? known.share() : 1;
-            rate = known != null ? known.queriesPerSecond() / house.fronts() : 0;
+        TenantAccount(int tenant) {
+            Deployment.Tenant configured = tenant < deployment.tenants().size()
+                    ? deployment.tenants().get(tenant) : null;
+            share = configured != null && configured.share() > 0 ? configured.share() : 1;
+            queriesPerSecond = configured != null ? configured.queriesPerSecond() / deployment.fronts() : 0;
         }
 
         private void charge(double work, int queries) {
-            usage();
-            beyondShare();
-            allowance = Math.max(-2 * rate, allowance - queries);
-            slots[(int) (slot % USAGE_SLOTS)] += work;
-            sum += work;
+            usagePerShare();
+            overRate();
+            rateTokens = Math.max(-2 * queriesPerSecond, rateTokens - queries);
+            slots[(int) (slot % USAGE_WINDOW_SLOTS)] += work;
+            usedWork += work;
         }
 
-        private double usage() {
-            long current = now / (USAGE_WINDOW / USAGE_SLOTS);
-            for (slot = Math.max(slot, current - USAGE_SLOTS); slot < current; ) {
+        /** The work done in the window, relative to the tenant's share: the lowest is served first. */
+        private double usagePerShare() {
+            long current = now / (USAGE_WINDOW_TICKS / USAGE_WINDOW_SLOTS);
+            for (slot = Math.max(slot, current - USAGE_WINDOW_SLOTS); slot < current; ) {
                 slot++;
-                sum -= slots[(int) (slot % USAGE_SLOTS)];
-                slots[(int) (slot % USAGE_SLOTS)] = 0;
+                usedWork -= slots[(int) (slot % USAGE_WINDOW_SLOTS)];
+                slots[(int) (slot % USAGE_WINDOW_SLOTS)] = 0;
             }
-            return sum / share;
+            return usedWork / share;
         }
 
-        /** Whether the tenant has lately been given more than its share of what this front carries. */
-        private boolean beyondShare() {
-            allowance = Math.min(2 * rate, allowance + rate * (now - refilledAt) / SECOND);
+        /** Whether the tenant exceeds its query rate on this front: a token bucket of two seconds. */
+        private boolean overRate() {
+            rateTokens = Math.min(2 * queriesPerSecond,
+                    rateTokens + queriesPerSecond * (now - refilledAt) / TICKS_PER_SECOND);
             refilledAt = now;
-            return rate > 0 && allowance < 0;
+            return queriesPerSecond > 0 && rateTokens < 0;
         }
     }
 
-    // ---- the desk
+    // ---- scheduler
 
-    /** Queries of one key run one at a time, in turn. */
-    private static final class KeyLane {
-        private final ArrayDeque<Query> turn = new ArrayDeque<>();
-        private long restsUntil;
+    /** Queries with the same order key, which run one at a time in order of arrival. */
+    private static final class OrderKeyQueue {
+        private final ArrayDeque<Query> queries = new ArrayDeque<>();
+        private long blockedUntil;
     }
 
-    /** Queue, gate and final answers. */
-    private final class Desk extends Part {
+    /** Queues, the concurrency limit and final answers. */
+    private final class Scheduler extends Actor {
         private final Map<Id.Query, Query> queries = new LinkedHashMap<>();
-        private final Map<Id.OrderKey, KeyLane> lanes = new LinkedHashMap<>();
-        private final ArrayDeque<Long> takenAt = new ArrayDeque<>();
-        private final ArrayDeque<Long> furtherAt = new ArrayDeque<>();
-        private final double[] usualWork = new double[house.groups().size()];
-        private final int[] worksSeen = new int[house.groups().size()];
-        private final double[] estimateError = new double[house.groups().size()];
-        private final int mostThreads;
-        private final long soonest;
-        private final int[] waitingIn = new int[house.groups().size()];
-        private long arrivals;
-        private long lastTrial = -QUERIES_A_TRIAL;
-        private double factor = 1;
-        private double stretch;
-        private double usualStretch;
-        private long answers;
-        private long boundMetAt;
-        private long askAgainAt = -1;
-        private long toldAt;
-        private double arrived;
-        private long arrivedAt;
-        private final double ratesTold;
-        private double memoryPart;
-        // Over the share by one query at the start: shares of one or two long queries leave engines idle.
-        private double grown;
-        private double memoryRoom;
-        private double needs;
-        private double needsSquared;
-        private double othersMemory;
-        private boolean crowded;
-        private boolean slack;
+        private final Map<Id.OrderKey, OrderKeyQueue> keyQueues = new LinkedHashMap<>();
+        // Times of acceptance and of resubmission within the window of the resubmission budget.
+        private final ArrayDeque<Long> acceptedAt = new ArrayDeque<>();
+        private final ArrayDeque<Long> resubmittedAt = new ArrayDeque<>();
+        // By resource group: moving averages of the work and of the logarithm of actual to estimated work.
+        private final double[] typicalWork = new double[deployment.groups().size()];
+        private final int[] workSamples = new int[deployment.groups().size()];
+        private final double[] logEstimateError = new double[deployment.groups().size()];
+        private final int maxQueryThreads;
+        private final long shortestTarget;
+        private final int[] queuedByGroup = new int[deployment.groups().size()];
+        private long arrivalCount;
+        private long lastProbeArrival = -MIN_ARRIVALS_PER_PROBE;
+        // Reduces the concurrency limit under overload.
+        private double limitFactor = 1;
+        // The slowdown over all engines, now and without overload, as logarithms.
+        private double logSlowdown;
+        private double baselineLogSlowdown;
+        private long finishedCount;
+        private long limitReachedAt;
+        private long discoveryRetryAt = -1;
+        private long lastRemarksAt;
+        private double recentArrivals;
+        private long lastArrivalAt;
+        private final double totalTenantRate;
+        // This front's fraction of the engines' memory.
+        private double memoryShare;
+        // What the concurrency limit has grown beyond the front's share. It starts with one query, because a
+        // share of one or two long queries leaves engines idle.
+        private double extraThreads;
+        private double freeMemoryMb;
+        private double meanNeedMb;
+        private double meanSquaredNeed;
+        // Estimated fraction of the engines' memory in use by other fronts.
+        private double othersMemoryRatio;
+        // Whether the last choice of an engine rejected one for lack of memory.
+        private boolean memoryShort;
+        private boolean spareCapacity;
         private boolean idle;
-        // What stood unused lately of the bound and of the part of memory, over time.
-        private double unusedThreads;
-        private double unusedMemory;
-
-        Desk() {
-            Arrays.setAll(usualWork, k -> house.groups().get(k).targetBase() / 2.0
-                    * house.groups().get(k).threads());
-            Arrays.fill(worksSeen, 2);
-            mostThreads = house.groups().stream().mapToInt(g -> g.threads()).max().orElse(1);
-            grown = mostThreads;
-            ratesTold = house.tenants().stream().mapToDouble(Deployment.Tenant::queriesPerSecond).sum();
-            soonest = house.groups().stream().mapToLong(g -> g.targetBase()).min().orElse(SECOND);
+        // Recently unused capacity below the concurrency and memory limits, in thread-ticks and MB-ticks.
+        private double threadCredit;
+        private double memoryCredit;
+
+        Scheduler() {
+            Arrays.setAll(typicalWork, k -> deployment.groups().get(k).targetBase() / 2.0
+                    * deployment.groups().get(k).threads());
+            Arrays.fill(workSamples, 2);
+            maxQueryThreads = deployment.groups().stream().mapToInt(g -> g.threads()).max().orElse(1);
+            extraThreads = maxQueryThreads;
+            totalTenantRate = deployment.tenants().stream().mapToDouble(Deployment.Tenant::queriesPerSecond)
+                    .sum();
+            shortestTarget = deployment.groups().stream().mapToLong(g -> g.targetBase()).min()
+                    .orElse(TICKS_PER_SECOND);
         }
 
-        private void word(Event event) {
+        private void onEvent(Event event) {
             if (event instanceof Event.Taken taken) {
-                take(taken);
+                accept(taken);
             } else if (event instanceof Event.Left left) {
                 Query q = queries.get(left.query());
                 if (q != null && !q.answered) {
-                    over(q);
+                    close(q);
                 }
             } else if (event instanceof Event.StreamBegan began) {
                 queries.getOrDefault(began.query(), new Query()).streaming = true;
             } else if (event instanceof Event.Leaving leaving) {
-                queries.values().forEach(q -> q.leavesAt = Math.min(q.leavesAt, leaving.by()));
+                queries.values().forEach(q -> q.clientDeadline = Math.min(q.clientDeadline, leaving.by()));
             } else if (event instanceof Event.ListUnavailable) {
-                askAgainAt = now + Math.min(SECOND / 2, house.discovery().askWithin() / 4);
-            } else if (event instanceof Event.Woken woken && woken.timer().equals(PULSE_TIMER)) {
-                pulse();
+                discoveryRetryAt = now + Math.min(TICKS_PER_SECOND / 2,
+                        deployment.discovery().askWithin() / 4);
+            } else if (event instanceof Event.Woken woken && woken.timer().equals(PERIODIC_TIMER)) {
+                onPeriodicTimer();
             }
         }
 
-        private void take(Event.Taken taken) {
-            Deployment.ResourceGroup group = house.groups().get(taken.group().index());
+        private void accept(Event.Taken taken) {
+            Deployment.ResourceGroup group = deployment.groups().get(taken.group().index());
             Query q = new Query();
             q.id = taken.query();
             q.group = taken.group().index();
-            q.tenant = taken.tenant().index() < 0 ? purses.length - 1 : taken.tenant().index();
+            q.tenant = taken.tenant().index() < 0 ? tenantAccounts.length - 1 : taken.tenant().index();
             q.key = group.ordered() ? taken.key() : null;
-            q.order = arrivals++;
-            q.leavesAt = taken.leavesAt();
+            q.arrivalNumber = arrivalCount++;
+            q.clientDeadline = taken.leavesAt();
             q.threads = group.threads();
-            q.told = taken.estimate() > 0;
-            q.work = q.told ? taken.estimate() * Math.exp(estimateError[q.group]) : usualWork[q.group];
-            if (q.told) {
-                usual(q.group, q.work);
+            q.hasEstimate = taken.estimate() > 0;
+            q.work = q.hasEstimate ? taken.estimate() * Math.exp(logEstimateError[q.group])
+                    : typicalWork[q.group];
+            if (q.hasEstimate) {
+                updateTypicalWork(q.group, q.work);
             }
             q.needMb = taken.needMb();
-            needs += 0.02 * (q.needMb - needs);
-            needsSquared += 0.02 * (q.needMb * q.needMb - needsSquared);
+            meanNeedMb += 0.02 * (q.needMb - meanNeedMb);
+            meanSquaredNeed += 0.02 * (q.needMb * q.needMb - meanSquaredNeed);
             q.dataSet = taken.dataSet();
-            // Past its client's leaving no answer has a value, whatever the group's target.
-            q.target = Math.min(q.leavesAt - LAST_CALL,
+            // An answer after the client has stopped waiting has no value, whatever the group's target.
+            q.targetDeadline = Math.min(q.clientDeadline - ANSWER_MARGIN_TICKS,
                     now + group.targetBase() + (long) (group.targetPerWork() * q.work / q.threads));
             queries.put(q.id, q);
-            slack = false;
-            arrived = 1 + arrived * Math.exp((arrivedAt - now) / (double) ARRIVALS_WINDOW);
-            arrivedAt = now;
-            if (house.ration() != null) {
-                takenAt.add(now);
+            spareCapacity = false;
+            recentArrivals = 1 + recentArrivals
+                    * Math.exp((lastArrivalAt - now) / (double) ARRIVALS_WINDOW_TICKS);
+            lastArrivalAt = now;
+            if (deployment.ration() != null) {
+                acceptedAt.add(now);
             }
-            KeyLane lane = q.key == null ? null : lanes.computeIfAbsent(q.key, k -> new KeyLane());
-            if (lane != null) {
-                lane.turn.add(q);
+            OrderKeyQueue keyQueue = q.key == null ? null
+                    : keyQueues.computeIfAbsent(q.key, k -> new OrderKeyQueue());
+            if (keyQueue != null) {
+                keyQueue.queries.add(q);
             }
-            if (now >= q.leavesAt - LAST_CALL) {
-                // A repeat can arrive with so little time left that the next pulse would answer it too late.
+            if (now >= q.clientDeadline - ANSWER_MARGIN_TICKS) {
+                // A client's retry may arrive with so little time left that the next periodic check would
+                // be too late.
                 giveUp(q);
-            } else if (lane != null) {
-                call(lane);
+            } else if (keyQueue != null) {
+                enqueueHead(keyQueue);
             } else {
-                join(q);
+                enqueue(q);
             }
-            release();
+            dispatch();
         }
 
-        private double lightest() {
-            return Math.max(1, Arrays.stream(usualWork).min().orElse(1));
+        /** The typical work of the group whose queries are the shortest. */
+        private double lightestWork() {
+            return Math.max(1, Arrays.stream(typicalWork).min().orElse(1));
         }
 
-        private void usual(int group, double work) {
-            usualWork[group] += Math.max(0.02, 1.0 / ++worksSeen[group]) * (work - usualWork[group]);
+        private void updateTypicalWork(int group, double work) {
+            typicalWork[group] += Math.max(0.02, 1.0 / ++workSamples[group]) * (work - typicalWork[group]);
         }
 
-        /** Into the tenant's line, at the place that the arrival gives. */
-        private void join(Query q) {
-            ArrayDeque<Query> line = purses[q.tenant].line;
+        /** Inserts the query into its tenant's queue, in order of arrival. */
+        private void enqueue(Query q) {
+            ArrayDeque<Query> queue = tenantAccounts[q.tenant].queue;
             ArrayDeque<Query> later = new ArrayDeque<>();
-            while (!line.isEmpty() && line.peekLast().order > q.order) {
-                later.push(line.pollLast());
+            while (!queue.isEmpty() && queue.peekLast().arrivalNumber > q.arrivalNumber) {
+                later.push(queue.pollLast());
             }
-            line.add(q);
-            line.addAll(later);
-            if (line.peek() == q) {
-                purses[q.tenant].score = purses[q.tenant].usage();
+            queue.add(q);
+            queue.addAll(later);
+            if (queue.peek() == q) {
+                tenantAccounts[q.tenant].queueScore = tenantAccounts[q.tenant].usagePerShare();
             }
-            waitingIn[q.group]++;
+            queuedByGroup[q.group]++;
         }
 
-        private void unqueue(Query q) {
-            if (purses[q.tenant].line.remove(q)) {
-                waitingIn[q.group]--;
+        private void dequeue(Query q) {
+            if (tenantAccounts[q.tenant].queue.remove(q)) {
+                queuedByGroup[q.group]--;
             }
         }
 
-        /** On warm engines. A cold one stands under its ration, which is less than its cores would bear. */
-        private double bound() {
-            return bound(overOpen(k -> cold(k) ? 0 : worth(k)));
+        /**
+         * How many threads this front may have on warm engines. Cold engines are limited by the cold start
+         * rule instead, which allows less than their cores would.
+         */
+        private double concurrencyLimit() {
+            return concurrencyLimit(sumOverAvailable(row -> isCold(row) ? 0 : effectiveCores(row)));
         }
 
-        private double bound(double worths) {
-            // What was grown goes first: at the least of the factor nothing is left of it.
-            double least = LEAST_BOUND / house.fronts() / share();
-            return Math.max(mostThreads, worths * THREADS_PER_CORE * share() * factor
-                    + grown * Math.max(0, factor - least) / Math.max(1e-3, 1 - least));
+        private double concurrencyLimit(double effectiveCores) {
+            // Threads beyond the share are given up first: none are left at the minimum factor.
+            double minFactor = MIN_LIMIT_RATIO / deployment.fronts() / frontShare();
+            return Math.max(maxQueryThreads, effectiveCores * THREADS_PER_CORE * frontShare() * limitFactor
+                    + extraThreads * Math.max(0, limitFactor - minFactor) / Math.max(1e-3, 1 - minFactor));
         }
 
-        private double ownThreadsAtStart() {
-            return overOpen(Control.this::worth) * THREADS_PER_CORE * share();
+        /** The concurrency limit without adaptation to load. */
+        private double baseConcurrencyLimit() {
+            return sumOverAvailable(Control.this::effectiveCores) * THREADS_PER_CORE * frontShare();
         }
 
-        /** An equal part or, as fronts can be very unequal, what its arrivals clearly are of all tenants'. */
-        private double share() {
-            double equal = 1.0 / house.fronts();
-            return ratesTold <= 0 ? equal : Math.max(equal, Math.min(1, BUSY_SHARE * arrived
-                    * Math.exp((arrivedAt - now) / (double) ARRIVALS_WINDOW)
-                    * SECOND / ARRIVALS_WINDOW / ratesTold));
+        /**
+         * This front's share of the engines: an equal one or, as the load of fronts can be very unequal, a
+         * conservative estimate of its part of all tenants' queries.
+         */
+        private double frontShare() {
+            double equalShare = 1.0 / deployment.fronts();
+            return totalTenantRate <= 0 ? equalShare
+                    : Math.max(equalShare, Math.min(1, ARRIVAL_SHARE_RATIO * recentArrivals
+                    * Math.exp((lastArrivalAt - now) / (double) ARRIVALS_WINDOW_TICKS)
+                    * TICKS_PER_SECOND / ARRIVALS_WINDOW_TICKS / totalTenantRate));
         }
 
         /**
-         * The mean of all needs on an engine at which what chance adds still fits: fronts spread blindly, and
-         * a sum scatters by the root of its mean times the usual size. Where no cancel is heeded, an engine
-         * over its memory stays there until all is run that nobody waits for; elsewhere it is soon back.
+         * The mean memory utilisation at which random variation still fits into an engine. Fronts place
+         * queries independently, so the standard deviation of the sum is the square root of its mean times
+         * the typical size of a query. Without cancellation an engine that exceeds its memory stays
+         * overloaded until it has run all queries that nobody waits for any more; with cancellation it
+         * recovers soon.
          */
-        private double memoryPart() {
-            if (house.allowed().cancel()) {
-                return MEMORY_PART;
+        private double safeMemoryRatio() {
+            if (deployment.allowed().cancel()) {
+                return MAX_MEMORY_RATIO;
             }
-            double size = needs <= 0 ? 0 : needsSquared / needs * overOpen(k -> 1)
-                    / Math.max(1, overOpen(k -> memoryMb[k]));
-            double scatter = SCATTER * (1 - share()) * (1 - share());
-            double root = (Math.sqrt(scatter * scatter * size + 4) - scatter * Math.sqrt(size)) / 2;
-            return Math.min(MEMORY_PART, root * root);
+            double relativeSize = meanNeedMb <= 0 ? 0
+                    : meanSquaredNeed / meanNeedMb * sumOverAvailable(row -> 1)
+                    / Math.max(1, sumOverAvailable(row -> memoryMb[row]));
+            double sigmas = MEMORY_MARGIN_SIGMAS * (1 - frontShare()) * (1 - frontShare());
+            double rootOfRatio = (Math.sqrt(sigmas * sigmas * relativeSize + 4) - sigmas
+                    * Math.sqrt(relativeSize)) / 2;
+            return Math.min(MAX_MEMORY_RATIO, rootOfRatio * rootOfRatio);
         }
 
-        /** What sits on a barred engine would otherwise shut the gate to all the others. */
-        private double threadsOut() {
-            return overOpen(k -> cold(k) ? 0 : ownThreads[k]);
+        /**
+         * This front's threads on warm engines. Ejected engines are left out: queries stuck there would use
+         * up the limit for all the others.
+         */
+        private double threadsInUse() {
+            return sumOverAvailable(row -> isCold(row) ? 0 : ownThreads[row]);
         }
 
-        /** Lets one query go and calls itself by a note, so that the next sees the engine's new row. */
-        private void release() {
-            double bound = bound();
-            double room = bound - threadsOut();
-            idle = room >= bound;
-            memoryPart = share() * (house.pages() ? 1 : 1 + grown / Math.max(1, ownThreadsAtStart()));
-            double ownPart = memoryPart * memoryPart() * overOpen(k -> memoryMb[k]);
-            othersMemory = (1 / memoryPart - 1) * overOpen(k -> ownMemory[k])
-                    / Math.max(1, overOpen(k -> memoryMb[k]));
-            boolean mixed = Arrays.stream(waitingIn).filter(count -> count > 0).count() > 1;
-            int[] groupThreads = new int[waitingIn.length];
+        /**
+         * Submits at most one query, then posts itself a message, so that the next one is chosen with the
+         * engine's updated row.
+         */
+        private void dispatch() {
+            double limit = concurrencyLimit();
+            double freeThreads = limit - threadsInUse();
+            idle = freeThreads >= limit;
+            memoryShare = frontShare() * (deployment.pages() ? 1
+                    : 1 + extraThreads / Math.max(1, baseConcurrencyLimit()));
+            double memoryLimitMb = memoryShare * safeMemoryRatio() * sumOverAvailable(k -> memoryMb[k]);
+            othersMemoryRatio = (1 / memoryShare - 1) * sumOverAvailable(k -> ownMemoryMb[k])
+                    / Math.max(1, sumOverAvailable(k -> memoryMb[k]));
+            boolean severalGroupsWait = Arrays.stream(queuedByGroup).filter(count -> count > 0).count() > 1;
+            int[] groupThreads = new int[queuedByGroup.length];
             List<Query> running = queries.values().stream()
-                    .filter(q -> q.outAt >= 0 && !q.lost && !barred[q.outAt]).toList();
-            running.forEach(q -> groupThreads[q.group] += cold(q.outAt) ? 0 : q.threads);
-            // One large query, let out on an idle front, would shut out all small ones while it runs.
-            memoryRoom = ownPart - overOpen(k -> ownMemory[k]) + Math.max(0, running.stream()
-                    .mapToDouble(q -> q.needMb).max().orElse(0) - ownPart * MOST_OF_ONE_QUERY);
-            for (Purse purse : inOrder()) {
-                // While others wait, one group leaves them a part of the bound: in a line in arrival order
-                // short queries would lose their targets behind long ones that each hold many threads.
-                int blocked = 0;
-                for (int k = 0; mixed && k < groupThreads.length; k++) {
-                    blocked |= groupThreads[k] > bound * MOST_OF_ONE_GROUP ? 1 << Math.min(k, 30) : 0;
+                    .filter(q -> q.runningOn >= 0 && !q.writtenOff && !ejected[q.runningOn]).toList();
+            running.forEach(q -> groupThreads[q.group] += isCold(q.runningOn) ? 0 : q.threads);
+            // At most half of the limit is charged for the largest running query: admitted on an idle front, it
+            // would otherwise keep out all small ones while it runs.
+            freeMemoryMb = memoryLimitMb - sumOverAvailable(k -> ownMemoryMb[k])
+                    + Math.max(0, running.stream()
+                    .mapToDouble(q -> q.needMb).max().orElse(0) - memoryLimitMb * MAX_QUERY_MEMORY_RATIO);
+            for (TenantAccount account : accountsByUsage()) {
+                // While queries of other groups wait, no group may use the whole limit: in order of arrival,
+                // short queries would miss their targets behind long ones that each use many threads.
+                int blockedGroups = 0;
+                for (int k = 0; severalGroupsWait && k < groupThreads.length; k++) {
+                    blockedGroups |= groupThreads[k] > limit * MAX_GROUP_THREADS_RATIO
+                            ? 1 << Math.min(k, 30) : 0;
                 }
-                int unfit = 0;
-                boolean shut = false;
-                double unfitMb = Double.MAX_VALUE;
-                for (Query q : purse.line) {
-                    // The ration is asked again: it may have shrunk since the query came back here.
-                    int bit = 1 << Math.min(q.group, 30);
-                    if ((blocked & bit) != 0 || (unfit & bit) != 0 && q.needMb >= unfitMb || q.late && !slack
-                            || q.submissions > 0 && !mayRepeat(q, false)) {
+                int memoryBlockedGroups = 0;
+                boolean limitReached = false;
+                double memoryBlockedMb = Double.MAX_VALUE;
+                for (Query q : account.queue) {
+                    // The resubmission budget may have shrunk since the query was queued: check it again.
+                    int groupBit = 1 << Math.min(q.group, 30);
+                    if ((blockedGroups & groupBit) != 0 || (memoryBlockedGroups & groupBit) != 0
+                            && q.needMb >= memoryBlockedMb || q.missesTarget && !spareCapacity
+                            || q.submissions > 0 && !mayResubmit(q, false)) {
                         continue;
                     }
-                    double cost = q.threads * expected(q);
-                    boolean over = q.threads > room && !idle;
-                    shut |= over && cost > unusedThreads;
-                    boundMetAt = shut ? now : boundMetAt;
-                    int at = choose(q, shut);
-                    if (at >= 0) {
-                        unusedThreads -= over && !cold(at) ? cost : 0;
-                        unusedMemory -= q.needMb > memoryRoom ? q.needMb * expected(q) : 0;
-                        send(q, at);
-                        post(this, Desk::release);
+                    double cost = q.threads * expectedRuntime(q);
+                    boolean overLimit = q.threads > freeThreads && !idle;
+                    limitReached |= overLimit && cost > threadCredit;
+                    limitReachedAt = limitReached ? now : limitReachedAt;
+                    int row = chooseEngine(q, limitReached);
+                    if (row >= 0) {
+                        threadCredit -= overLimit && !isCold(row) ? cost : 0;
+                        memoryCredit -= q.needMb > freeMemoryMb ? q.needMb * expectedRuntime(q) : 0;
+                        submit(q, row);
+                        post(this, Scheduler::dispatch);
                         return;
                     }
-                    // No engine of its own takes it; a query of another group may still leave, and where
-                    // memory is what lacks, one that needs less: large ones would hold up all behind them.
-                    // It has to fit by itself: what stood unused is left to those that wait for it.
-                    // Where the gate is shut, cold engines may have room for the other group's.
-                    q.crowdedOut = crowded;
-                    unfitMb = crowded ? Math.min(unfitMb, Math.min(q.needMb, memoryRoom)) : unfitMb;
-                    unfit |= crowded ? bit : 0;
-                    blocked |= crowded ? 0 : bit;
+                    // No engine can take it. A query of another group may still be submitted and, if memory
+                    // is short, one that needs less: large queries would otherwise block all behind them. It
+                    // has to fit without the credit, which is left to the queries that wait for it. If the
+                    // limit is reached, cold engines may have capacity for another group.
+                    q.waitsForMemory = memoryShort;
+                    memoryBlockedMb = memoryShort
+                            ? Math.min(memoryBlockedMb, Math.min(q.needMb, freeMemoryMb)) : memoryBlockedMb;
+                    memoryBlockedGroups |= memoryShort ? groupBit : 0;
+                    blockedGroups |= memoryShort ? 0 : groupBit;
                 }
             }
         }
 
-        /** Tenants with queries waiting, the head's score refreshed as the design page says. */
-        private List<Purse> inOrder() {
-            List<Purse> lines = new ArrayList<>(Arrays.asList(purses));
-            lines.removeIf(purse -> purse.line.isEmpty());
-            Comparator<Purse> order = Comparator.<Purse>comparingDouble(p -> p.score)
-                    .thenComparingLong(p -> p.line.peek().order);
-            lines.sort(order);
-            for (int tries = 0; lines.size() > 1 && tries <= REFRESHES; tries++) {
-                Purse head = lines.get(0);
-                head.score = head.usage();
-                lines.sort(order);
-                if (lines.get(0) == head) {
-                    return lines;
+        /**
+         * Tenants with queued queries, least usage first. Scores are cached; the head's is refreshed until
+         * the order is stable, as described in docs/design.md.
+         */
+        private List<TenantAccount> accountsByUsage() {
+            List<TenantAccount> accounts = new ArrayList<>(Arrays.asList(tenantAccounts));
+            accounts.removeIf(account -> account.queue.isEmpty());
+            Comparator<TenantAccount> order = Comparator.<TenantAccount>comparingDouble(p -> p.queueScore)
+                    .thenComparingLong(p -> p.queue.peek().arrivalNumber);
+            accounts.sort(order);
+            for (int tries = 0; accounts.size() > 1 && tries <= MAX_HEAD_RESCORES; tries++) {
+                TenantAccount head = accounts.get(0);
+                head.queueScore = head.usagePerShare();
+                accounts.sort(order);
+                if (accounts.get(0) == head) {
+                    return accounts;
                 }
             }
-            if (lines.size() > 1 && Arrays.stream(waitingIn).sum() <= RESCORE_AT_MOST) {
-                lines.forEach(p -> p.score = p.usage());
-                lines.sort(order);
+            if (accounts.size() > 1 && Arrays.stream(queuedByGroup).sum() <= MAX_QUEUED_FOR_FULL_RESCORE) {
+                accounts.forEach(p -> p.queueScore = p.usagePerShare());
+                accounts.sort(order);
             }
-            return lines;
+            return accounts;
         }
 
         /**
-         * The engine with fewest own threads for each core of those that can take the query, or -1. Where the
-         * gate is shut, a cold one that it would end on in time: what is out on warm engines says nothing of
-         * the others, and half of a fleet may just have been replaced.
+         * The engine with the fewest own threads per core of those that can take the query, or -1. Once the
+         * concurrency limit is reached, only cold engines on which the query would meet its target are
+         * considered: the limit covers warm engines only, and half of all engines may just have been
+         * replaced.
          */
-        private int choose(Query q, boolean shut) {
+        private int chooseEngine(Query q, boolean limitReached) {
             int best = -1;
-            crowded = false;
-            double least = Double.MAX_VALUE;
-            for (int k = 0; k < fleet.size(); k++) {
-                if (!allowed(q, k) || shut && !cold(k) || cold(k)
-                        && !spread.coldRoom(k, usualWork[q.group] / lightest(), lightest(), now)) {
+            memoryShort = false;
+            double lowestLoad = Double.MAX_VALUE;
+            for (int row = 0; row < engines.size(); row++) {
+                if (!isAllowed(q, row) || limitReached && !isCold(row) || isCold(row)
+                        && !spread.coldStartAdmits(row, typicalWork[q.group] / lightestWork(),
+                        lightestWork(), now)) {
                     continue;
                 }
-                if (!barred[k] && !memoryFits(q, k)) {
-                    crowded = house.pages();
+                if (!ejected[row] && !memoryFits(q, row)) {
+                    memoryShort = deployment.pages();
                     continue;
                 }
-                if (barred[k] && trial(q, k)) {
-                    lastTrial = arrivals;
-                    return k;
+                if (ejected[row] && mayProbe(q, row)) {
+                    lastProbeArrival = arrivalCount;
+                    return row;
                 }
-                // Engines too slow for its target come after all others, and the one that failed it last.
-                boolean late = now + q.work / q.threads * slowness(k) > q.target;
-                if (shut && late) {
+                // Engines too slow for the query's target come after all others, and the engine on which it
+                // failed comes last.
+                boolean missesTarget = now + q.work / q.threads * expectedSlowdown(row) > q.targetDeadline;
+                if (limitReached && missesTarget) {
                     continue;
                 }
-                double worth = worth(k);
-                double load = spread.steps(k, ownThreads[k]) / worth
-                        + 1e-6 * spread.turn(k, ownThreads[k], worth, now)
-                        + (k == q.avoid ? 2 * COMES_LAST : late ? COMES_LAST : 0);
-                if (load < least && !barred[k]) {
-                    least = load;
-                    best = k;
+                double effectiveCores = effectiveCores(row);
+                double load = spread.threadSteps(row, ownThreads[row]) / effectiveCores
+                        + 1e-6 * spread.tieBreak(row, ownThreads[row], effectiveCores, now)
+                        + (row == q.failedOn ? 2 * LAST_RESORT_PENALTY : missesTarget ? LAST_RESORT_PENALTY
+                        : 0);
+                if (load < lowestLoad && !ejected[row]) {
+                    lowestLoad = load;
+                    best = row;
                 }
             }
             return best;
         }
 
-        /** The rules on drains, placement and repeats. */
-        private boolean allowed(Query q, int k) {
-            Deployment.ResourceGroup group = house.groups().get(q.group);
-            Engine engine = fleet.get(k);
-            if (!up[k] || group.zones() != null && !group.zones().contains(engine.zone)
+        /** Whether the rules on draining, placement and repeats permit the query to run on the engine. */
+        private boolean isAllowed(Query q, int row) {
+            Deployment.ResourceGroup group = deployment.groups().get(q.group);
+            Engine engine = engines.get(row);
+            if (!up[row] || group.zones() != null && !group.zones().contains(engine.zone)
                     || group.kinds() != null && !group.kinds().contains(engine.kind)) {
                 return false;
             }
-            if (q.ranAt < 0) {
+            if (q.firstRanOn < 0) {
                 return true;
             }
-            Engine ran = fleet.get(q.ranAt);
-            return RepeatPolicy.recognisedAt(group, ran.zone, ran.cell, engine.zone, engine.cell);
+            Engine firstRan = engines.get(q.firstRanOn);
+            return RepeatPolicy.recognisedAt(group, firstRan.zone, firstRan.cell, engine.zone, engine.cell);
         }
 
-        /** Own needs stay under this front's part of the engine's memory and of the fleet's. By engine alone
-         * hundreds of fronts with one query on each would overfill them all. */
-        private boolean memoryFits(Query q, int k) {
-            return memoryMb[k] <= 0 || (!house.pages() || q.needMb <= memoryRoom || idle
-                    || q.needMb * expected(q) <= unusedMemory)
-                    && (ownMemory[k] <= 0 || ownMemory[k] + q.needMb <= memoryMb[k]
-                            * Math.max(memoryPart * 0.9, house.pages() ? 0.9 - othersMemory : 0));
+        /**
+         * Whether the query fits into this front's part of the engine's memory and of the total memory. With
+         * the limit per engine alone, hundreds of fronts with one query on each engine would overfill them
+         * all.
+         */
+        private boolean memoryFits(Query q, int row) {
+            return memoryMb[row] <= 0 || (!deployment.pages() || q.needMb <= freeMemoryMb || idle
+                    || q.needMb * expectedRuntime(q) <= memoryCredit)
+                    && (ownMemoryMb[row] <= 0 || ownMemoryMb[row] + q.needMb <= memoryMb[row]
+                            * Math.max(memoryShare * 0.9, deployment.pages() ? 0.9 - othersMemoryRatio : 0));
         }
 
-        /** The way back: a barred engine gets one query that could still be run elsewhere in time. */
-        private boolean trial(Query q, int k) {
-            return now >= fleet.get(k).barredUntil && arrivals - lastTrial >= QUERIES_A_TRIAL
-                    && ownQueries[k] == 0 && q.submissions == 0 && mayRepeat(q, true)
-                    && now + 3 * expected(q) < q.target && 2 * q.work <= 3 * usualWork[q.group];
+        /** Whether the query may probe an ejected engine: it must leave time to be run elsewhere. */
+        private boolean mayProbe(Query q, int row) {
+            return now >= engines.get(row).ejectedUntil
+                    && arrivalCount - lastProbeArrival >= MIN_ARRIVALS_PER_PROBE
+                    && ownQueries[row] == 0 && q.submissions == 0 && mayResubmit(q, true)
+                    && now + 3 * expectedRuntime(q) < q.targetDeadline
+                    && 2 * q.work <= 3 * typicalWork[q.group];
         }
 
+        /** The query's value, reduced if its tenant exceeds its rate. */
         private double value(Query q) {
-            return house.groups().get(q.group).value()
-                    * (purses[q.tenant].beyondShare() ? house.overShareValue() : 1);
+            return deployment.groups().get(q.group).value()
+                    * (tenantAccounts[q.tenant].overRate() ? deployment.overShareValue() : 1);
         }
 
-        /** How long the query would run now. */
-        private double expected(Query q) {
-            return q.work / q.threads * Math.exp(Math.max(0, stretch));
+        /** The query's runtime at the current load, in ticks. */
+        private double expectedRuntime(Query q) {
+            return q.work / q.threads * Math.exp(Math.max(0, logSlowdown));
         }
 
-        private void send(Query q, int at) {
-            unqueue(q);
-            if (q.submissions++ > 0 && house.ration() != null) {
-                furtherAt.add(now);
+        private void submit(Query q, int row) {
+            dequeue(q);
+            if (q.submissions++ > 0 && deployment.ration() != null) {
+                resubmittedAt.add(now);
             }
-            q.outAt = at;
-            q.sentTo = at;
+            q.runningOn = row;
+            q.lastSentTo = row;
             q.sentAt = now;
             q.cancelled = false;
-            q.lost = false;
-            q.notedAt = now;
-            q.notedUnseen = 0;
-            q.share = 0;
-            q.overdueAt = now + (long) (2 * expected(q));
-            post(fleet.get(at), engine -> engine.carry(q));
-            int first = q.submissions == 1 ? 1 : 0;
-            post(purses[q.tenant], purse -> purse.charge(q.work, first));
+            q.writtenOff = false;
+            q.progressAt = now;
+            q.progressUncertainty = 0;
+            q.progress = 0;
+            q.overdueAt = now + (long) (2 * expectedRuntime(q));
+            post(engines.get(row), engine -> engine.send(q));
+            int isFirst = q.submissions == 1 ? 1 : 0;
+            post(tenantAccounts[q.tenant], account -> account.charge(q.work, isFirst));
         }
 
-        private void back(Query q, Event.Closed closed) {
-            q.outAt = -1;
+        private void onClosed(Query q, Event.Closed closed) {
+            q.runningOn = -1;
             Outcome outcome = closed.outcome();
-            if (!outcome.neverRan() && q.ranAt < 0) {
-                q.ranAt = q.sentTo;
-                q.ranSince = q.sentAt;
+            if (!outcome.neverRan() && q.firstRanOn < 0) {
+                q.firstRanOn = q.lastSentTo;
+                q.firstRanSince = q.sentAt;
             }
-            q.unclear |= outcome.mayStillRun();
+            q.mayStillRun |= outcome.mayStillRun();
             if (outcome == Outcome.FINISHED) {
-                learn(q, closed);
+                learnFrom(q, closed);
             }
-            double used = closed.work() > 0 ? closed.work() : q.told ? q.work : closed.took() * q.threads;
-            double owed = outcome.neverRan() ? 0
-                    : outcome == Outcome.FINISHED ? used : Math.min(used, closed.took() * q.threads);
-            post(purses[q.tenant], purse -> purse.charge(owed - q.work, 0));
+            double usedWork = closed.work() > 0 ? closed.work() : q.hasEstimate ? q.work
+                    : closed.took() * q.threads;
+            double chargedWork = outcome.neverRan() ? 0
+                    : outcome == Outcome.FINISHED ? usedWork : Math.min(usedWork, closed.took() * q.threads);
+            post(tenantAccounts[q.tenant], account -> account.charge(chargedWork - q.work, 0));
             q.answered |= closed.over();
             if (q.answered) {
-                leave(q);
+                remove(q);
             } else if (outcome != Outcome.NOT_SENT && outcome != Outcome.NOT_KEPT
-                    && q.submissions < house.allowed().submissions()
-                    && mayRepeat(q, false) && now + expected(q) < q.leavesAt - LAST_CALL) {
-                q.avoid = q.sentTo;
-                join(q);
+                    && q.submissions < deployment.allowed().submissions()
+                    && mayResubmit(q, false) && now + expectedRuntime(q) < q.clientDeadline
+                    - ANSWER_MARGIN_TICKS) {
+                q.failedOn = q.lastSentTo;
+                enqueue(q);
             } else {
                 giveUp(q);
             }
-            post(this, Desk::release);
+            post(this, Scheduler::dispatch);
         }
 
-        private void learn(Query q, Event.Closed closed) {
-            double ran = closed.took() * q.threads;
-            double work = closed.work() > 0 ? closed.work() : q.told ? q.work : ran;
-            if (!q.told) {
-                usual(q.group, work);
+        /** Updates the estimates of work, slowdown and concurrency limit from a finished query. */
+        private void learnFrom(Query q, Event.Closed closed) {
+            double threadTicks = closed.took() * q.threads;
+            double work = closed.work() > 0 ? closed.work() : q.hasEstimate ? q.work : threadTicks;
+            if (!q.hasEstimate) {
+                updateTypicalWork(q.group, work);
             } else if (closed.work() > 0) {
-                estimateError[q.group] += 0.02 * Math.max(-2, Math.min(2, Math.log(work / q.work)));
+                logEstimateError[q.group] += 0.02 * Math.max(-2, Math.min(2, Math.log(work / q.work)));
             }
-            answers++;
-            if (!barred[q.sentTo]) {
-                felt(ran - closed.unseen() * q.threads, ran, work, Math.max(0.05, 1.0 / answers));
+            finishedCount++;
+            if (!ejected[q.lastSentTo]) {
+                observeSlowdown(threadTicks - closed.unseen() * q.threads, threadTicks, work,
+                        Math.max(0.05, 1.0 / finishedCount));
             }
-            boolean first = answers < 40 && (answers < 10 || now - bornAt < FIRST_ANSWERS);
-            if (first || now - boundMetAt > SECOND && threadsOut() < CALM * bound() / factor) {
-                // A busy front has only its first answers to go by; later ones can show an overload.
-                usualStretch += (stretch - usualStretch) * (first ? Math.max(0.1, 1.0 / answers) : 0.01);
-            } else if (factor * share() * house.fronts() <= LEAST_BOUND * 1.001) {
-                // What stays slow with this front's load at its least is not of this front's making.
-                usualStretch += (stretch - usualStretch) * 0.002;
+            boolean calibrating = finishedCount < 40
+                    && (finishedCount < 10 || now - createdAt < CALIBRATION_TICKS);
+            if (calibrating || now - limitReachedAt > TICKS_PER_SECOND
+                    && threadsInUse() < LOW_LOAD_RATIO * concurrencyLimit() / limitFactor) {
+                // A busy front has only its first answers as a baseline; later ones may reflect an overload.
+                baselineLogSlowdown += (logSlowdown - baselineLogSlowdown)
+                        * (calibrating ? Math.max(0.1, 1.0 / finishedCount) : 0.01);
+            } else if (limitFactor * frontShare() * deployment.fronts() <= MIN_LIMIT_RATIO * 1.001) {
+                // Slowness that persists at this front's minimum load is not caused by this front.
+                baselineLogSlowdown += (logSlowdown - baselineLogSlowdown) * 0.002;
             }
-            if (factor >= 1 && now - boundMetAt < SECOND) {
-                grown = Math.min(overOpen(Control.this::worth), grown + q.threads);
+            if (limitFactor >= 1 && now - limitReachedAt < TICKS_PER_SECOND) {
+                extraThreads = Math.min(sumOverAvailable(Control.this::effectiveCores),
+                        extraThreads + q.threads);
             }
         }
 
-        /** What was seen of how a run takes against its work. One step moves the stretch by little, whatever
-         * it shows: bad plans and lost answers say nothing of the load. */
-        private void felt(double least, double most, double work, double weight) {
-            double step = logOf(stretch, least, most, work) - stretch;
-            step = Math.max(-ONE_STEP, Math.min(ONE_STEP, step));
-            stretch = Math.max(-1, Math.min(2.5, stretch + weight * step));
-            // The bound follows at once: fronts that each hear little would shrink too late by steps.
-            double high = stretch - Math.max(-0.3, Math.min(1.2, usualStretch));
-            factor = Math.max(LEAST_BOUND / house.fronts() / share(),
-                    Math.exp(-2 * Math.max(0, high - Math.log(USUAL_STRETCH))));
-            if (factor < 1) {
-                grown = Math.min(grown, Math.max(mostThreads, grown * 0.9));
+        /**
+         * Updates the slowdown with a measurement of thread time against work, and the concurrency limit with
+         * it. A single measurement has a bounded effect: bad plans and lost answers say nothing about the
+         * load.
+         */
+        private void observeSlowdown(double minTicks, double maxTicks, double work, double weight) {
+            double step = observedLogSlowdown(logSlowdown, minTicks, maxTicks, work) - logSlowdown;
+            step = Math.max(-MAX_LOG_SLOWDOWN_STEP, Math.min(MAX_LOG_SLOWDOWN_STEP, step));
+            logSlowdown = Math.max(-1, Math.min(2.5, logSlowdown + weight * step));
+            // The limit follows at once: with few measurements per front, it would shrink too late in steps.
+            double excess = logSlowdown - Math.max(-0.3, Math.min(1.2, baselineLogSlowdown));
+            limitFactor = Math.max(MIN_LIMIT_RATIO / deployment.fronts() / frontShare(),
+                    Math.exp(-2 * Math.max(0, excess - Math.log(TOLERATED_SLOWDOWN_RATIO))));
+            if (limitFactor < 1) {
+                extraThreads = Math.min(extraThreads, Math.max(maxQueryThreads, extraThreads * 0.9));
             }
         }
 
-        /** Whether a further submission keeps the rules on effects and on the ration. */
-        private boolean mayRepeat(Query q, boolean asTrial) {
-            Deployment.ResourceGroup group = house.groups().get(q.group);
-            if (!RepeatPolicy.mayRunAgain(group, asTrial || q.ranAt >= 0) || now >= departBy(q)) {
+        /** Whether another submission is permitted by the rules on effects and by the resubmission budget. */
+        private boolean mayResubmit(Query q, boolean asProbe) {
+            Deployment.ResourceGroup group = deployment.groups().get(q.group);
+            if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestDeparture(q)) {
                 return false;
             }
-            Deployment.Ration ration = house.ration();
+            Deployment.Ration ration = deployment.ration();
             if (ration == null) {
                 return true;
             }
-            // Both windows err to the strict side by a tenth, for what the clock's rounding may hide.
-            while (!furtherAt.isEmpty() && now - furtherAt.peek() > ration.window() + 1) {
-                furtherAt.poll();
+            // Both windows are stricter by one tick to allow for rounding of the clock.
+            while (!resubmittedAt.isEmpty() && now - resubmittedAt.peek() > ration.window() + 1) {
+                resubmittedAt.poll();
             }
-            while (!takenAt.isEmpty() && now - takenAt.peek() >= ration.window() - 1) {
-                takenAt.poll();
+            while (!acceptedAt.isEmpty() && now - acceptedAt.peek() >= ration.window() - 1) {
+                acceptedAt.poll();
             }
-            return furtherAt.size() + 1 <= ration.free() + ration.perQuery() * takenAt.size();
+            return resubmittedAt.size() + 1 <= ration.free() + ration.perQuery() * acceptedAt.size();
         }
 
-        /** A repeat counts when it arrives: a late connection or a stop of the loop may come between. */
-        private long departBy(Query q) {
-            long until = RepeatPolicy.recognisedUntil(house.groups().get(q.group), q.ranAt >= 0, q.ranSince);
-            return until == Long.MAX_VALUE ? until : until - ARRIVAL;
+        /**
+         * The latest time at which the query may be sent again. The limit holds for its arrival at the
+         * engine, which a slow connection or a stall of the event loop may delay.
+         */
+        private long latestDeparture(Query q) {
+            long recognisedUntil = RepeatPolicy.recognisedUntil(deployment.groups().get(q.group),
+                    q.firstRanOn >= 0, q.firstRanSince);
+            return recognisedUntil == Long.MAX_VALUE ? recognisedUntil : recognisedUntil - MAX_TRANSIT_TICKS;
         }
 
-        /** Bad plans: what a fresh start would end far sooner than the rest of this run starts afresh. */
-        private void progress(Query q, Event.ShareDone note) {
-            // Answers tell of an overload only once it has passed; notes of runs tell while it lasts.
-            double share = note.share();
-            long since = now - q.notedAt;
-            if (!barred[q.outAt]) {
-                felt((since - note.unseen()) * q.threads, (since + q.notedUnseen) * q.threads,
-                        (share - q.share) * q.work, 0.05);
+        /**
+         * Handles a progress report. A run that would take far longer to complete than a new one, usually
+         * because of a bad plan, is cancelled so that it can be started again.
+         */
+        private void onProgress(Query q, Event.ShareDone event) {
+            // Answers reveal an overload only after the fact; progress reports reveal it while it lasts.
+            double progress = event.share();
+            long sinceLast = now - q.progressAt;
+            if (!ejected[q.runningOn]) {
+                observeSlowdown((sinceLast - event.unseen()) * q.threads,
+                        (sinceLast + q.progressUncertainty) * q.threads,
+                        (progress - q.progress) * q.work, 0.05);
             }
-            q.share = share;
-            q.notedAt = now;
-            q.notedUnseen = note.unseen();
+            q.progress = progress;
+            q.progressAt = now;
+            q.progressUncertainty = event.unseen();
             q.overdueAt = Long.MAX_VALUE;
             if (q.answered || !mayRestart(q)) {
                 return;
             }
-            double ran = (now - q.sentAt) / expected(q);
-            if (ran * (1 - share) > share * 3 && ran > 1.5) {
+            double relativeRuntime = (now - q.sentAt) / expectedRuntime(q);
+            if (relativeRuntime * (1 - progress) > progress * 3 && relativeRuntime > 1.5) {
                 cancel(q);
             }
         }
 
         private boolean mayRestart(Query q) {
-            return house.groups().get(q.group).effect() == Effect.READ_ONLY
-                    && q.submissions < house.allowed().submissions() && mayRepeat(q, false);
+            return deployment.groups().get(q.group).effect() == Effect.READ_ONLY
+                    && q.submissions < deployment.allowed().submissions() && mayResubmit(q, false);
         }
 
-        /** Far past its time and without a note: its answer may be lost, or its engine silent. */
-        private boolean stuck(Query q) {
-            return crawls(q) && now - q.notedAt > house.noteEvery() * 1.3;
+        /** Whether it is far overdue without progress reports: its answer may be lost or its engine hung. */
+        private boolean isStalled(Query q) {
+            return isFarOverdue(q) && now - q.progressAt > deployment.noteEvery() * 1.3;
         }
 
-        private boolean crawls(Query q) {
-            return q.outAt >= 0 && now - q.sentAt > 4 * expected(q) + GRACE;
+        private boolean isFarOverdue(Query q) {
+            return q.runningOn >= 0 && now - q.sentAt > 4 * expectedRuntime(q) + OVERDUE_GRACE_TICKS;
         }
 
         private void cancel(Query q) {
-            if (house.allowed().cancel() && !q.cancelled && !q.streaming) {
+            if (deployment.allowed().cancel() && !q.cancelled && !q.streaming) {
                 q.cancelled = true;
-                out.accept(new Action.Cancel(q.id, new Id.Submission(q.submissions - 1)));
+                actionSink.accept(new Action.Cancel(q.id, new Id.Submission(q.submissions - 1)));
             }
         }
 
-        /** Whether a client may try the query again. */
-        private boolean safe(Query q, boolean ran) {
-            return RepeatPolicy.mayDefer(house.groups().get(q.group), ran);
+        /** Whether the client may be told that a retry is safe. */
+        private boolean mayDefer(Query q, boolean mayHaveRun) {
+            return RepeatPolicy.mayDefer(deployment.groups().get(q.group), mayHaveRun);
         }
 
-        /** The final answer for a query that has nothing out. */
+        /** Sends the final answer for a query that will not be served. */
         private void giveUp(Query q) {
-            // Where it was an engine that failed it, and not room that lacks, it may come back at once.
-            long longest = house.allowed().comeBack() ? house.allowed().longestComeBack() : 0;
-            long comeBack = q.outAt >= 0 ? Math.min(PULSE, longest) : spread.comeBack(longest);
-            out.accept(safe(q, q.ranAt >= 0) ? new Action.Defer(q.id, comeBack) : new Action.Kill(q.id));
-            over(q);
+            // If an engine failed the query, rather than capacity being short, the client may retry at once.
+            long maxRetryAfter = deployment.allowed().comeBack() ? deployment.allowed().longestComeBack() : 0;
+            long retryAfter = q.runningOn >= 0 ? Math.min(PERIOD_TICKS, maxRetryAfter)
+                    : spread.retryAfter(maxRetryAfter);
+            actionSink.accept(mayDefer(q, q.firstRanOn >= 0) ? new Action.Defer(q.id, retryAfter)
+                    : new Action.Kill(q.id));
+            close(q);
         }
 
-        private void over(Query q) {
+        /** Ends the query: it has its final answer, or its client has gone. */
+        private void close(Query q) {
             q.answered = true;
-            unqueue(q);
-            if (q.outAt < 0) {
-                leave(q);
+            dequeue(q);
+            if (q.runningOn < 0) {
+                remove(q);
             } else {
                 cancel(q);
             }
         }
 
-        /** Answered and nothing out: the key may go on, after its rest. */
-        private void leave(Query q) {
+        /**
+         * Removes a query that is answered and has no submission outstanding. The next query of its order key
+         * may run, after a delay if this one may still be running.
+         */
+        private void remove(Query q) {
             if (queries.remove(q.id) == null || q.key == null) {
                 return;
             }
-            KeyLane lane = lanes.get(q.key);
-            if (q.unclear) {
-                lane.restsUntil = Math.max(lane.restsUntil, now + house.keyRest());
+            OrderKeyQueue keyQueue = keyQueues.get(q.key);
+            if (q.mayStillRun) {
+                keyQueue.blockedUntil = Math.max(keyQueue.blockedUntil, now + deployment.keyRest());
             }
-            lane.turn.remove(q);
-            call(lane);
+            keyQueue.queries.remove(q);
+            enqueueHead(keyQueue);
         }
 
-        /** The first of a key joins its tenant's line once the key has rested. */
-        private void call(KeyLane lane) {
-            Query first = lane.turn.peek();
-            if (first != null && now >= lane.restsUntil && first.outAt < 0
-                    && !purses[first.tenant].line.contains(first)) {
-                join(first);
+        /** Moves the first query of an order key to its tenant's queue once the key's delay is over. */
+        private void enqueueHead(OrderKeyQueue keyQueue) {
+            Query head = keyQueue.queries.peek();
+            if (head != null && now >= keyQueue.blockedUntil && head.runningOn < 0
+                    && !tenantAccounts[head.tenant].queue.contains(head)) {
+                enqueue(head);
             }
         }
 
-        private void pulse() {
-            out.accept(new Action.WakeMe(PULSE_TIMER, PULSE));
-            if (askAgainAt >= 0 && now >= askAgainAt) {
-                askAgainAt = -1;
-                out.accept(new Action.FollowEngines());
+        private void onPeriodicTimer() {
+            actionSink.accept(new Action.WakeMe(PERIODIC_TIMER, PERIOD_TICKS));
+            if (discoveryRetryAt >= 0 && now >= discoveryRetryAt) {
+                discoveryRetryAt = -1;
+                actionSink.accept(new Action.FollowEngines());
             }
-            lanes.values().removeIf(lane -> lane.turn.isEmpty() && now >= lane.restsUntil);
-            lanes.values().forEach(this::call);
-            if (now - toldAt >= SECOND) {
-                toldAt = now;
-                spread.changes(Control.this::worth, now).forEach(line -> out.accept(new Action.Remark(line)));
+            keyQueues.values().removeIf(keyQueue -> keyQueue.queries.isEmpty()
+                    && now >= keyQueue.blockedUntil);
+            keyQueues.values().forEach(this::enqueueHead);
+            if (now - lastRemarksAt >= TICKS_PER_SECOND) {
+                lastRemarksAt = now;
+                spread.trafficRemarks(Control.this::effectiveCores, now)
+                        .forEach(remark -> actionSink.accept(new Action.Remark(remark)));
             }
-            usualPace = median(pace);
-            usualFaults = median(faults);
-            fleet.forEach(engine -> post(engine, Engine::look));
-            sweep();
-            double most = Arrays.stream(usualWork).max().orElse(0) * Math.exp(Math.max(0, stretch));
-            double perCore = overOpen(k -> memoryMb[k]) / Math.max(1, overOpen(k -> cores[k]));
-            unusedThreads = Math.min(UNUSED_KEPT * most,
-                    unusedThreads + PULSE * Math.max(0, bound() - threadsOut()));
-            unusedMemory = Math.min(UNUSED_MEMORY_KEPT * most * perCore,
-                    unusedMemory + PULSE * Math.max(0, memoryRoom));
-            post(this, Desk::release);
+            medianLogSlowdown = median(engineLogSlowdown);
+            medianErrorRate = median(errorRate);
+            engines.forEach(engine -> post(engine, Engine::runPeriodicChecks));
+            shedLoad();
+            double longestTypicalTicks = Arrays.stream(typicalWork).max().orElse(0)
+                    * Math.exp(Math.max(0, logSlowdown));
+            double mbPerCore = sumOverAvailable(row -> memoryMb[row])
+                    / Math.max(1, sumOverAvailable(row -> cores[row]));
+            threadCredit = Math.min(MAX_THREAD_CREDIT_RATIO * longestTypicalTicks,
+                    threadCredit + PERIOD_TICKS * Math.max(0, concurrencyLimit() - threadsInUse()));
+            memoryCredit = Math.min(MAX_MEMORY_CREDIT_RATIO * longestTypicalTicks * mbPerCore,
+                    memoryCredit + PERIOD_TICKS * Math.max(0, freeMemoryMb));
+            post(this, Scheduler::dispatch);
         }
 
-        /** Defers what can't end in time and, of too much waiting, the least value for its work. */
-        private void sweep() {
-            // Past its target, what still has a value runs on what nobody waits for here or elsewhere.
-            slack = factor >= 1 && threadsOut() < CALM * bound()
-                    && queries.values().stream().allMatch(q -> q.outAt >= 0 || q.late);
-            List<Query> held = new ArrayList<>();
-            double backlog = 0;
-            int crawling = (int) queries.values().stream().filter(this::crawls).mapToInt(q -> q.outAt)
+        /**
+         * Gives up queries that can't be answered in time and, if too much work is queued, those with the
+         * least value for their work. Also handles running queries that are overdue.
+         */
+        private void shedLoad() {
+            // A query past its target that still has some value runs only on capacity that no other query
+            // waits for, here or at other fronts.
+            spareCapacity = limitFactor >= 1 && threadsInUse() < LOW_LOAD_RATIO * concurrencyLimit()
+                    && queries.values().stream().allMatch(q -> q.runningOn >= 0 || q.missesTarget);
+            List<Query> queued = new ArrayList<>();
+            double queuedWork = 0;
+            int enginesWithOverdue = (int) queries.values().stream().filter(this::isFarOverdue)
+                    .mapToInt(q -> q.runningOn)
                     .distinct().count();
             for (Query q : new ArrayList<>(queries.values())) {
-                if (q.outAt >= 0) {
-                    if (crawls(q) && !house.allowed().cancel()) {
-                        post(fleet.get(q.outAt), engine -> engine.crawls(q, crawling));
-                        if (barred[q.outAt] && !q.answered && safe(q, true)) {
-                            giveUp(q); // can't be taken back, but its client can still be in time
+                if (q.runningOn >= 0) {
+                    if (isFarOverdue(q) && !deployment.allowed().cancel()) {
+                        post(engines.get(q.runningOn),
+                                engine -> engine.ejectIfThrashing(q, enginesWithOverdue));
+                        if (ejected[q.runningOn] && !q.answered && mayDefer(q, true)) {
+                            giveUp(q); // can't be cancelled, but its client still has time for a retry
                         }
                     }
-                    if (now >= q.overdueAt && !q.answered && !barred[q.outAt]) {
-                        // For runs too short for notes. Only once: an answer that is lost is no load.
+                    if (now >= q.overdueAt && !q.answered && !ejected[q.runningOn]) {
+                        // For queries too short for progress reports. Once only: a lost answer is no load.
                         q.overdueAt = Long.MAX_VALUE;
-                        felt((now - q.sentAt) * q.threads, (now - q.sentAt) * q.threads, q.work, 0.05);
+                        observeSlowdown((now - q.sentAt) * q.threads, (now - q.sentAt) * q.threads, q.work,
+                                0.05);
                     }
-                    if (stuck(q) && !q.answered && house.allowed().cancel() && mayRestart(q)) {
+                    if (isStalled(q) && !q.answered && deployment.allowed().cancel() && mayRestart(q)) {
                         cancel(q);
-                    } else if (stuck(q) && !q.cancelled && !q.lost) {
-                        // Its notes have stopped: the work is over and its answer lost, or its engine stands
-                        // still, which a bar answers. Held until its time-out it would shut the gate.
-                        q.lost = true;
-                        post(fleet.get(q.outAt), engine -> engine.free(q));
+                    } else if (isStalled(q) && !q.cancelled && !q.writtenOff) {
+                        // No more progress reports: the query has ended and its answer is lost, or the engine
+                        // hangs and will be ejected. Counted until its timeout, it would use up the limit.
+                        q.writtenOff = true;
+                        post(engines.get(q.runningOn), engine -> engine.releaseResources(q));
                     }
-                } else if (now >= q.leavesAt - LAST_CALL || (q.late = now + expected(q) > q.target)
-                        && (house.groups().get(q.group).lateValue() <= 0
-                                || now + expected(q) > q.leavesAt - LAST_CALL)) {
+                } else if (now >= q.clientDeadline - ANSWER_MARGIN_TICKS
+                        || (q.missesTarget = now + expectedRuntime(q) > q.targetDeadline)
+                        && (deployment.groups().get(q.group).lateValue() <= 0
+                                || now + expectedRuntime(q) > q.clientDeadline - ANSWER_MARGIN_TICKS)) {
                     giveUp(q);
-                } else if (!q.late && (!q.crowdedOut || now - boundMetAt < SECOND)) {
-                    // While the gate is not met, none would leave sooner for one that waits for memory.
-                    held.add(q);
-                    backlog += q.work;
+                } else if (!q.missesTarget && (!q.waitsForMemory
+                        || now - limitReachedAt < TICKS_PER_SECOND)) {
+                    // Below the concurrency limit, giving up a query that waits for memory helps no other.
+                    queued.add(q);
+                    queuedWork += q.work;
                 }
             }
-            double rate = bound(overOpen(Control.this::worth)) / Math.exp(Math.max(0, stretch));
-            held.sort(Comparator.comparingDouble(q -> value(q) / q.work));
-            for (int k = 0; k < held.size() && backlog / rate > soonest * 0.4; k++) {
-                backlog -= held.get(k).work;
-                giveUp(held.get(k));
+            double throughput = concurrencyLimit(sumOverAvailable(Control.this::effectiveCores))
+                    / Math.exp(Math.max(0, logSlowdown));
+            queued.sort(Comparator.comparingDouble(q -> value(q) / q.work));
+            for (int k = 0; k < queued.size() && queuedWork / throughput > shortestTarget * 0.4; k++) {
+                queuedWork -= queued.get(k).work;
+                giveUp(queued.get(k));
             }
         }
     }
--- a/src/main/java/reedspring/core/policy/AcceptBackoff.java
+++ b/src/main/java/reedspring/core/policy/AcceptBackoff.java
@@ -18,26 +18,26 @@
         OTHER
     }
 
-    private static final long MS = 10;
-    private static final long FIRST_REST = MS;
+    private static final long TICKS_PER_MS = 10;
+    private static final long MIN_DELAY_TICKS = TICKS_PER_MS;
     /** No client notices more, and a failing call every 20 ms costs no more than the timers do. */
-    private static final long LONGEST_REST = 20 * MS;
+    private static final long MAX_DELAY_TICKS = 20 * TICKS_PER_MS;
     /** Descriptors come back one by one as connections end; a look every 50 ms meets each soon enough. */
-    private static final long LONGEST_REST_FOR_DESCRIPTORS = 50 * MS;
+    private static final long MAX_DESCRIPTOR_DELAY_TICKS = 50 * TICKS_PER_MS;
 
-    private long rest;
+    private long delay;
 
     /** An accept has failed; the time to rest before the next, 0 to go on at once. */
     public long failed(Cause cause) {
         if (cause == Cause.CONNECTION) {
             return 0;
         }
-        long longest = cause == Cause.DESCRIPTORS ? LONGEST_REST_FOR_DESCRIPTORS : LONGEST_REST;
-        rest = Math.min(longest, Math.max(FIRST_REST, 2 * rest));
-        return rest;
+        long maxDelay = cause == Cause.DESCRIPTORS ? MAX_DESCRIPTOR_DELAY_TICKS : MAX_DELAY_TICKS;
+        delay = Math.min(maxDelay, Math.max(MIN_DELAY_TICKS, 2 * delay));
+        return delay;
     }
 
     public void succeeded() {
-        rest = 0;
+        delay = 0;
     }
 }
--- a/src/main/java/reedspring/core/policy/EngineStartTime.java
+++ b/src/main/java/reedspring/core/policy/EngineStartTime.java
@@ -12,7 +12,7 @@
  */
 public final class EngineStartTime {
     /** What discovery has to tell counts as told by then; a start that it tells of is no older, mostly. */
-    private static final long LATEST_NOTICE = 70_000;
+    private static final long MAX_NOTICE_DELAY_TICKS = 70_000;
 
     private EngineStartTime() {
     }
@@ -22,15 +22,15 @@
      * @param now Unix time as of this process's start, carried on by its steady clock
      * @param wallClock Unix time by the wall clock as it is now
      */
-    public static long estimate(long named, long now, long wallClock) {
-        long byClockAtStart = named;
-        long byClockNow = now + named - wallClock;
-        boolean atStartIsPast = byClockAtStart <= now;
-        boolean nowIsPast = byClockNow <= now;
+    public static long estimate(long reportedStart, long now, long wallClock) {
+        long byWallClockAtStart = reportedStart;
+        long byWallClockNow = now + reportedStart - wallClock;
+        boolean atStartIsPast = byWallClockAtStart <= now;
+        boolean nowIsPast = byWallClockNow <= now;
         if (atStartIsPast && nowIsPast) {
-            return Math.max(byClockAtStart, byClockNow);
+            return Math.max(byWallClockAtStart, byWallClockNow);
         }
-        return atStartIsPast ? byClockAtStart : nowIsPast ? byClockNow : now;
+        return atStartIsPast ? byWallClockAtStart : nowIsPast ? byWallClockNow : now;
     }
 
     /**
@@ -41,6 +41,6 @@
      * @param lastHeard when the stream last said anything before it
      */
     public static long ofNewEngine(long estimate, long lastHeard) {
-        return estimate < lastHeard - LATEST_NOTICE ? lastHeard : estimate;
+        return estimate < lastHeard - MAX_NOTICE_DELAY_TICKS ? lastHeard : estimate;
     }
 }
--- a/src/main/java/reedspring/core/policy/QueryLifecycle.java
+++ b/src/main/java/reedspring/core/policy/QueryLifecycle.java
@@ -72,37 +72,37 @@
             boolean engineReady) {
     }
 
-    private enum Attempt { NONE, DECIDED, SENT }
+    private enum SubmissionState { NONE, DECIDED, SENT }
 
     private final ResourceGroup group;
-    private final int mostAttempts;
-    private Attempt attempt = Attempt.NONE;
-    private int attempts;
+    private final int maxSubmissions;
+    private SubmissionState submission = SubmissionState.NONE;
+    private int submissions;
     private boolean mayHaveRun;
     private boolean over;
 
     /** @param mostAttempts how many attempts the deployment allows a query */
-    public QueryLifecycle(ResourceGroup group, int mostAttempts) {
+    public QueryLifecycle(ResourceGroup group, int maxSubmissions) {
         this.group = group;
-        this.mostAttempts = mostAttempts;
+        this.maxSubmissions = maxSubmissions;
     }
 
     /** Whether another attempt may be made; if so it is out from now on, until {@link #attemptEnded}. */
     public Verdict startAttempt() {
-        if (attempt != Attempt.NONE) {
+        if (submission != SubmissionState.NONE) {
             return Verdict.ATTEMPT_OUT;
         }
         if (over) {
             return Verdict.QUERY_OVER;
         }
-        if (attempts >= mostAttempts) {
+        if (submissions >= maxSubmissions) {
             return Verdict.ATTEMPTS_USED_UP;
         }
         if (!RepeatPolicy.mayRunAgain(group, mayHaveRun)) {
             return Verdict.UNSAFE_REPEAT;
         }
-        attempt = Attempt.DECIDED;
-        attempts++;
+        submission = SubmissionState.DECIDED;
+        submissions++;
         return Verdict.ALLOWED;
     }
 
@@ -123,14 +123,14 @@
         if (!facts.engineReady()) {
             return Verdict.ENGINE_NOT_READY;
         }
-        attempt = Attempt.SENT;
+        submission = SubmissionState.SENT;
         return Verdict.ALLOWED;
     }
 
     /** @param neverRan whether its end proves that the engine did not begin it */
     public void attemptEnded(boolean neverRan) {
-        mayHaveRun |= attempt == Attempt.SENT && !neverRan;
-        attempt = Attempt.NONE;
+        mayHaveRun |= submission == SubmissionState.SENT && !neverRan;
+        submission = SubmissionState.NONE;
     }
 
     /** Whether this may be the final answer; if so the query is over. */
@@ -138,7 +138,7 @@
         if (over) {
             return Verdict.SECOND_ANSWER;
         }
-        if (answer == Answer.DEFERRED && !RepeatPolicy.mayDefer(group, mayHaveRunByNow())) {
+        if (answer == Answer.DEFERRED && !RepeatPolicy.mayDefer(group, mayHaveRunSoFar())) {
             return Verdict.UNSAFE_DEFERRAL;
         }
         over = true;
@@ -147,7 +147,7 @@
 
     /** The answer that a query gets which has to be given up now. */
     public Answer answerIfGivenUp() {
-        return RepeatPolicy.mayDefer(group, mayHaveRunByNow()) ? Answer.DEFERRED : Answer.FAILED;
+        return RepeatPolicy.mayDefer(group, mayHaveRunSoFar()) ? Answer.DEFERRED : Answer.FAILED;
     }
 
     /** Its client has gone: nothing is owed any more. */
@@ -160,7 +160,7 @@
         return over;
     }
 
-    private boolean mayHaveRunByNow() {
-        return mayHaveRun || attempt == Attempt.SENT;
+    private boolean mayHaveRunSoFar() {
+        return mayHaveRun || submission == SubmissionState.SENT;
     }
 }
--- a/src/main/java/reedspring/core/policy/RecentIds.java
+++ b/src/main/java/reedspring/core/policy/RecentIds.java
@@ -12,18 +12,18 @@
  * ids are known, and at most twice as many.
  */
 public final class RecentIds {
-    private final int least;
+    private final int minRetained;
     private Set<Long> current = new HashSet<>();
     private Set<Long> previous = Set.of();
 
     /** @param least how many ids are known at least, once so many were taken */
-    public RecentIds(int least) {
-        this.least = least;
+    public RecentIds(int minRetained) {
+        this.minRetained = minRetained;
     }
 
     /** Notes an id that is taken now. */
     public void add(long id) {
-        if (current.size() >= least) {
+        if (current.size() >= minRetained) {
             previous = current;
             current = new HashSet<>();
         }
--- a/src/main/java/reedspring/core/policy/RepeatPolicy.java
+++ b/src/main/java/reedspring/core/policy/RepeatPolicy.java
@@ -25,12 +25,13 @@
     }
 
     /** Whether an engine there discards the repeat of what may have run on the other. */
-    public static boolean recognisedAt(ResourceGroup group, Id.Zone ranZone, Id.Cell ranCell, Id.Zone zone,
+    public static boolean recognisedAt(ResourceGroup group, Id.Zone firstZone, Id.Cell firstCell,
+            Id.Zone zone,
                                        Id.Cell cell) {
         if (group.effect() == Effect.READ_ONLY || group.recognised() == Recognised.ALL) {
             return true;
         }
-        return group.recognised() == Recognised.ZONE ? ranZone.equals(zone) : ranCell.equals(cell);
+        return group.recognised() == Recognised.ZONE ? firstZone.equals(zone) : firstCell.equals(cell);
     }
 
     /**
@@ -38,8 +39,8 @@
      *
      * @param ranSince when the first that may have run was sent
      */
-    public static long recognisedUntil(ResourceGroup group, boolean mayHaveRun, long ranSince) {
-        return group.effect() == Effect.TOKENED && mayHaveRun ? ranSince + group.recognisedFor()
+    public static long recognisedUntil(ResourceGroup group, boolean mayHaveRun, long firstSentAt) {
+        return group.effect() == Effect.TOKENED && mayHaveRun ? firstSentAt + group.recognisedFor()
                 : Long.MAX_VALUE;
     }
 }
--- a/src/main/java/reedspring/spread/Spread.java
+++ b/src/main/java/reedspring/spread/Spread.java
@@ -27,128 +27,130 @@
      * are gone and the others don't know: with a circle of c of E engines each, N fronts leave E e^(-cN/E)
      * out.
      */
-    private static final double LEFT_OUT = 0.05;
-    private static final double FRONTS_STAYING = 0.3;
+    private static final double MAX_UNCOVERED_ENGINES = 0.05;
+    private static final double SURVIVING_FRONTS_RATIO = 0.3;
     /** One front alone needs room to go round what is slow, barred or full. */
-    private static final int LEAST_CIRCLE = 6;
-    private static final int CIRCLE_A_BUSY_ONE = 2;
+    private static final int MIN_SUBSET_SIZE = 6;
+    private static final int SUBSET_ENGINES_PER_BUSY_ENGINE = 2;
     /** A report can be wrong for good; it moves an engine's turn by no more than this, either way. */
-    private static final double MOST_TRUST = 2;
+    private static final double MAX_REPORT_FACTOR = 2;
     /** Of a barred engine's cores, what trials of all fronts that know it may take. */
-    private static final double TRIAL_PART = 0.1;
+    private static final double PROBE_CORES_RATIO = 0.1;
     /** Of what would push a cold engine over: one part may stand filled while another flows in. */
-    private static final double COLD_PART = 0.4;
+    private static final double COLD_START_RATIO = 0.4;
     /** Of the span that is named, what is left to chance. */
-    private static final double PHASE = 0.5;
-    private static final double GOLDEN = 0.6180339887498949;
-    private static final double TELL_LESS = 0.5;
-    private static final double TELL_BACK = 0.8;
-
-    private final Deployment house;
-    private final SplittableRandom chance;
-    private final long seed;
-    private final long bornAt;
-    private int rows;
-    private Id.Engine[] ids = new Id.Engine[8];
+    private static final double JITTER_RATIO = 0.5;
+    private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
+    private static final double REDUCED_BELOW_RATIO = 0.5;
+    private static final double RESTORED_ABOVE_RATIO = 0.8;
+
+    private final Deployment deployment;
+    private final SplittableRandom random;
+    private final long hashSeed;
+    private final long createdAt;
+    private int rowCount;
+    private Id.Engine[] engineIds = new Id.Engine[8];
     private boolean[] up = new boolean[8];
     private double[] cores = new double[8];
-    private double[] rank = new double[8];
-    private int[] place = new int[8];
-    private int[] out = new int[8];
-    private double[] said = new double[8];
-    private long[] saidAt = new long[8];
-    private double[] credit = new double[8];
-    private long[] creditAt = new long[8];
-    private double[] told = new double[8];
-    private boolean unsorted;
-    private int ups;
-    private double smallest = 1;
-    private int busy;
-    private int circle = LEAST_CIRCLE;
-    private double usualTook;
-    private double meanSaid;
-    private double phase;
-
-    public Spread(long seed, Deployment house, long now) {
-        this.chance = new SplittableRandom(seed);
-        this.seed = chance.nextLong();
-        this.house = house;
-        this.bornAt = now;
-        this.phase = chance.nextDouble();
+    private double[] hashRank = new double[8];
+    private int[] position = new int[8];
+    private int[] ownSubmissions = new int[8];
+    private double[] reportedLoad = new double[8];
+    private long[] reportedAt = new long[8];
+    private double[] coldCredit = new double[8];
+    private long[] coldCreditAt = new long[8];
+    private double[] remarkedRatio = new double[8];
+    private boolean orderStale;
+    private int upCount;
+    private double smallestCores = 1;
+    private int busyEngines;
+    private int subsetSize = MIN_SUBSET_SIZE;
+    private double typicalRunTicks;
+    private double meanReportedLoad;
+    private double retryPhase;
+
+    public Spread(long seed, Deployment deployment, long now) {
+        this.random = new SplittableRandom(seed);
+        this.hashSeed = random.nextLong();
+        this.deployment = deployment;
+        this.createdAt = now;
+        this.retryPhase = random.nextDouble();
     }
 
     // ---- what happens
 
     /** A row's engine as the list has it now; another engine than before starts with nothing held of it. */
-    public void listed(int at, Id.Engine engine, double itsCores, boolean isUp) {
-        if (at >= ids.length) {
-            grow(at * 2);
+    public void engineListed(int row, Id.Engine engine, double engineCores, boolean isUp) {
+        if (row >= engineIds.length) {
+            growRows(row * 2);
         }
-        rows = Math.max(rows, at + 1);
-        if (!engine.equals(ids[at])) {
-            ids[at] = engine;
-            out[at] = 0;
-            told[at] = 1;
+        rowCount = Math.max(rowCount, row + 1);
+        if (!engine.equals(engineIds[row])) {
+            engineIds[row] = engine;
+            ownSubmissions[row] = 0;
+            remarkedRatio[row] = 1;
             // Rendezvous: what comes or goes moves no other. Sizes count by turns; in both they would count
             // twice.
-            rank[at] = unit(engine);
-            renewed(at, bornAt);
+            hashRank[row] = hashToUnitInterval(engine);
+            engineRestarted(row, createdAt);
         }
-        up[at] = isUp;
-        cores[at] = itsCores;
-        unsorted = true;
+        up[row] = isUp;
+        cores[row] = engineCores;
+        orderStale = true;
     }
 
     /** The order of what is listed now: made when it is next asked for, once for a whole list. */
-    private void sort() {
-        if (!unsorted) {
+    private void refreshOrder() {
+        if (!orderStale) {
             return;
         }
-        unsorted = false;
-        int[] order = IntStream.range(0, rows).filter(k -> up[k]).boxed()
-                .sorted(Comparator.comparingDouble(k -> rank[k])).mapToInt(k -> k).toArray();
-        Arrays.fill(place, Integer.MAX_VALUE);
-        for (int k = 0; k < order.length; k++) {
-            place[order[k]] = k;
+        orderStale = false;
+        int[] sortedRows = IntStream.range(0, rowCount).filter(row -> up[row]).boxed()
+                .sorted(Comparator.comparingDouble(row -> hashRank[row])).mapToInt(row -> row).toArray();
+        Arrays.fill(position, Integer.MAX_VALUE);
+        for (int row = 0; row < sortedRows.length; row++) {
+            position[sortedRows[row]] = row;
         }
-        ups = order.length;
-        smallest = Arrays.stream(order).mapToDouble(k -> cores[k]).filter(c -> c > 0).min().orElse(1);
-        narrow();
+        upCount = sortedRows.length;
+        smallestCores = Arrays.stream(sortedRows).mapToDouble(row -> cores[row]).filter(c -> c > 0).min()
+                .orElse(1);
+        updateSubsetSize();
     }
 
     /** A new process in the row. */
-    public void renewed(int at, long now) {
-        said[at] = Double.NaN;
+    public void engineRestarted(int row, long now) {
+        reportedLoad[row] = Double.NaN;
         // Hundreds of fronts whose part of a cold engine is under one query take turns.
-        credit[at] = chance.nextDouble();
-        creditAt[at] = now;
+        coldCredit[row] = random.nextDouble();
+        coldCreditAt[row] = now;
     }
 
     /** {@code weight} is the work that is usual of its group, in that of the lightest group. */
-    public void sent(int at, double weight) {
-        credit[at] -= weight;
-        busy += out[at]++ == 0 ? 1 : 0;
-        narrow();
+    public void submissionSent(int row, double weight) {
+        coldCredit[row] -= weight;
+        busyEngines += ownSubmissions[row]++ == 0 ? 1 : 0;
+        updateSubsetSize();
     }
 
-    public void ended(int at, long took) {
-        busy -= --out[at] == 0 ? 1 : 0;
-        usualTook += (usualTook == 0 ? 1 : 0.05) * (took - usualTook);
-        narrow();
+    public void submissionEnded(int row, long runTicks) {
+        busyEngines -= --ownSubmissions[row] == 0 ? 1 : 0;
+        typicalRunTicks += (typicalRunTicks == 0 ? 1 : 0.05) * (runTicks - typicalRunTicks);
+        updateSubsetSize();
     }
 
     /** A load report, by the time at which it came. */
-    public void heard(int at, Load load, long now) {
-        double full = Math.max(known(load.cores()), Math.max(known(load.memory()), known(load.disks())));
-        double held = Double.isNaN(load.cores()) ? known(load.inHand()) : 0;
-        said[at] = full + (held + known(load.waiting())) / Math.max(1, cores[at]);
-        saidAt[at] = now;
-        meanSaid = IntStream.range(0, rows).filter(k -> up[k] && !Double.isNaN(said[k]))
-                .mapToDouble(k -> said[k]).average().orElse(0);
+    public void loadReported(int row, Load load, long now) {
+        double utilisation = Math.max(valueOrZero(load.cores()),
+                Math.max(valueOrZero(load.memory()), valueOrZero(load.disks())));
+        double running = Double.isNaN(load.cores()) ? valueOrZero(load.inHand()) : 0;
+        reportedLoad[row] = utilisation + (running + valueOrZero(load.waiting())) / Math.max(1, cores[row]);
+        reportedAt[row] = now;
+        meanReportedLoad = IntStream.range(0, rowCount).filter(k -> up[k] && !Double.isNaN(reportedLoad[k]))
+                .mapToDouble(k -> reportedLoad[k]).average().orElse(0);
     }
 
-    private static double known(double figure) {
-        return Double.isNaN(figure) ? 0 : figure;
+    private static double valueOrZero(double value) {
+        return Double.isNaN(value) ? 0 : value;
     }
 
     // ---- what ties
@@ -159,11 +161,12 @@
      * small took as many as the rest. Going round by turns was worse, as it seeks out what has not answered
      * for longest.
      */
-    public double turn(int at, int ownThreads, double worth, long now) {
-        double free = 1 - (ownThreads - steps(at, ownThreads)) / units(at);
-        double due = -Math.log(1 - chance.nextDouble()) / Math.max(1e-3, worth * free * trust(at, now));
-        sort();
-        return (place[at] < circle ? 0 : 1) + due / (1 + due);
+    public double tieBreak(int row, int ownThreads, double effectiveCores, long now) {
+        double freeRatio = 1 - (ownThreads - threadSteps(row, ownThreads)) / sizeUnits(row);
+        double delay = -Math.log(1 - random.nextDouble())
+                / Math.max(1e-3, effectiveCores * freeRatio * reportFactor(row, now));
+        refreshOrder();
+        return (position[row] < subsetSize ? 0 : 1) + delay / (1 + delay);
     }
 
     /**
@@ -171,24 +174,24 @@
      * all are of a size that is the threads themselves. Else a front with few queries has one thread on a
      * large engine and none on a small one nearly always, and would send both as many.
      */
-    public double steps(int at, int ownThreads) {
-        return Math.floor(ownThreads / units(at) + 1e-9) * units(at);
+    public double threadSteps(int row, int ownThreads) {
+        return Math.floor(ownThreads / sizeUnits(row) + 1e-9) * sizeUnits(row);
     }
 
-    private double units(int at) {
-        sort();
-        return Math.max(1, cores[at] / smallest);
+    private double sizeUnits(int row) {
+        refreshOrder();
+        return Math.max(1, cores[row] / smallestCores);
     }
 
     /** Whether the front turns to it first, all else being equal. */
-    public boolean home(int at) {
-        sort();
-        return place[at] < circle;
+    public boolean inSubset(int row) {
+        refreshOrder();
+        return position[row] < subsetSize;
     }
 
-    public int circle() {
-        sort();
-        return circle;
+    public int subsetSize() {
+        refreshOrder();
+        return subsetSize;
     }
 
     /**
@@ -196,27 +199,30 @@
      * usual run is, and what came since nobody here knows: so it counts by its age in usual runs, and an old
      * one not at all. Taken as it stands it would send all fronts to whatever looked idle last.
      */
-    private double trust(int at, long now) {
-        if (Double.isNaN(said[at]) || usualTook <= 0) {
+    private double reportFactor(int row, long now) {
+        if (Double.isNaN(reportedLoad[row]) || typicalRunTicks <= 0) {
             return 1;
         }
-        double fresh = Math.exp((saidAt[at] - now) / usualTook);
-        return Math.max(1 / MOST_TRUST, Math.min(MOST_TRUST, Math.exp(fresh * (meanSaid - said[at]))));
+        double freshness = Math.exp((reportedAt[row] - now) / typicalRunTicks);
+        return Math.max(1 / MAX_REPORT_FACTOR,
+                Math.min(MAX_REPORT_FACTOR, Math.exp(freshness * (meanReportedLoad - reportedLoad[row]))));
     }
 
     /**
      * So many engines that, all fronts drawing blindly, hardly one is left out of every circle, also when
      * most fronts have just died. Among few fronts that is all engines, and nothing is narrowed.
      */
-    private void narrow() {
-        double each = ups * Math.log(Math.max(1, ups / LEFT_OUT)) / (FRONTS_STAYING * house.fronts());
-        circle = Math.max(LEAST_CIRCLE, Math.max((int) Math.ceil(each), CIRCLE_A_BUSY_ONE * busy));
+    private void updateSubsetSize() {
+        double required = upCount * Math.log(Math.max(1, upCount / MAX_UNCOVERED_ENGINES))
+                / (SURVIVING_FRONTS_RATIO * deployment.fronts());
+        subsetSize = Math.max(MIN_SUBSET_SIZE,
+                Math.max((int) Math.ceil(required), SUBSET_ENGINES_PER_BUSY_ENGINE * busyEngines));
     }
 
     /** Of a number of fronts, how many have the engine in their circle and so come to know how it is. */
-    private double knowing() {
-        sort();
-        return Math.max(1, house.fronts() * Math.min(1, circle / Math.max(1.0, ups)));
+    private double frontsPerEngine() {
+        refreshOrder();
+        return Math.max(1, deployment.fronts() * Math.min(1, subsetSize / Math.max(1.0, upCount)));
     }
 
     // ---- paces
@@ -225,9 +231,9 @@
      * How long a barred engine rests before this front tries it: {@code least}, or so long that the trials of
      * all fronts that know it take a small part of it, and never the same for all that barred it together.
      */
-    public long rest(int at, long least, double work) {
-        double each = knowing() * work / (TRIAL_PART * Math.max(1, cores[at]));
-        return (long) (Math.max(least, each) * (1 + PHASE * (chance.nextDouble() - 0.5)));
+    public long probeDelay(int row, long minDelay, double work) {
+        double delayForRate = frontsPerEngine() * work / (PROBE_CORES_RATIO * Math.max(1, cores[row]));
+        return (long) (Math.max(minDelay, delayForRate) * (1 + JITTER_RATIO * (random.nextDouble() - 0.5)));
     }
 
     /**
@@ -239,22 +245,23 @@
      *
      * @param weight the query's usual work in that of the lightest group, {@code lightest}
      */
-    public boolean coldRoom(int at, double weight, double lightest, long now) {
-        Deployment.ColdStart rule = house.coldStart();
-        if (now - bornAt < rule.window()) {
+    public boolean coldStartAdmits(int row, double weight, double lightest, long now) {
+        Deployment.ColdStart rule = deployment.coldStart();
+        if (now - createdAt < rule.window()) {
             return false;
         }
-        double rate = COLD_PART * rule.multiple() * rule.from() * cores[at] / house.fronts() / lightest;
-        double most = Math.max(rate * rule.window(), 1);
-        double round = 1 + rate * turnLasts(rule);
-        credit[at] += rate * (now - creditAt[at]);
-        creditAt[at] = now;
-        if (round >= 2) {
-            credit[at] = Math.min(credit[at], most);
-        } else if (credit[at] >= round) {
-            credit[at] %= round;
+        double rate = COLD_START_RATIO * rule.multiple() * rule.from() * cores[row] / deployment.fronts()
+                / lightest;
+        double maxCredit = Math.max(rate * rule.window(), 1);
+        double creditPeriod = 1 + rate * creditHoldTicks(rule);
+        coldCredit[row] += rate * (now - coldCreditAt[row]);
+        coldCreditAt[row] = now;
+        if (creditPeriod >= 2) {
+            coldCredit[row] = Math.min(coldCredit[row], maxCredit);
+        } else if (coldCredit[row] >= creditPeriod) {
+            coldCredit[row] %= creditPeriod;
         }
-        return weight <= Math.min(credit[at], most);
+        return weight <= Math.min(coldCredit[row], maxCredit);
     }
 
     /**
@@ -262,10 +269,10 @@
      * over a window has to fit into what the engine stands by then, which grows over its ramp; where it grows
      * as fast as that, for all of it.
      */
-    private static double turnLasts(Deployment.ColdStart rule) {
-        double grows = (1 / rule.from() - 1) / rule.ramp();
-        double left = COLD_PART / rule.window() - grows;
-        return left <= 0 ? rule.ramp() : Math.min(rule.ramp(), (1 - COLD_PART) / left);
+    private static double creditHoldTicks(Deployment.ColdStart rule) {
+        double rampPerTick = (1 / rule.from() - 1) / rule.ramp();
+        double netPerTick = COLD_START_RATIO / rule.window() - rampPerTick;
+        return netPerTick <= 0 ? rule.ramp() : Math.min(rule.ramp(), (1 - COLD_START_RATIO) / netPerTick);
     }
 
     // ---- phases
@@ -274,14 +281,14 @@
      * A time to come back, at most the longest that is heeded: what is deferred together must not come
      * together. Each differs from the last ones by as much as it can, which chance alone would not see to.
      */
-    public long comeBack(long longest) {
-        phase = (phase + GOLDEN) % 1;
-        return longest - (long) (PHASE * longest * phase);
+    public long retryAfter(long maxDelay) {
+        retryPhase = (retryPhase + GOLDEN_RATIO_FRACTION) % 1;
+        return maxDelay - (long) (JITTER_RATIO * maxDelay * retryPhase);
     }
 
     /** The first of a regular moment's times: 1 to the whole period from now. */
-    public long first(long period) {
-        return 1 + chance.nextLong(Math.max(1, period));
+    public long firstDelay(long period) {
+        return 1 + random.nextLong(Math.max(1, period));
     }
 
     // ---- for operators
@@ -290,45 +297,46 @@
      * What changed for an engine since it was last told: one line when it is sent clearly less, or again
      * more.
      */
-    public List<String> changes(IntToDoubleFunction worth, long now) {
-        List<String> lines = new ArrayList<>();
-        for (int k = 0; k < rows; k++) {
-            double reports = trust(k, now);
-            double own = up[k] ? worth.applyAsDouble(k) / Math.max(1e-3, cores[k]) : 1;
-            double part = own * Math.min(1, reports);
-            if (up[k] && part < TELL_LESS && told[k] >= TELL_LESS) {
-                told[k] = part;
-                lines.add("engine " + ids[k].address() + (reports < own
+    public List<String> trafficRemarks(IntToDoubleFunction effectiveCores, long now) {
+        List<String> remarks = new ArrayList<>();
+        for (int row = 0; row < rowCount; row++) {
+            double byReports = reportFactor(row, now);
+            double byObservation = up[row] ? effectiveCores.applyAsDouble(row) / Math.max(1e-3, cores[row])
+                    : 1;
+            double ratio = byObservation * Math.min(1, byReports);
+            if (up[row] && ratio < REDUCED_BELOW_RATIO && remarkedRatio[row] >= REDUCED_BELOW_RATIO) {
+                remarkedRatio[row] = ratio;
+                remarks.add("engine " + engineIds[row].address() + (byReports < byObservation
                         ? " says that it is busier than others"
                         : " is slower, colder or fails more than others") + ", is sent less");
-            } else if (up[k] && part > TELL_BACK && told[k] < TELL_LESS) {
-                told[k] = 1;
-                lines.add("engine " + ids[k].address() + " is sent its share again");
+            } else if (up[row] && ratio > RESTORED_ABOVE_RATIO && remarkedRatio[row] < REDUCED_BELOW_RATIO) {
+                remarkedRatio[row] = 1;
+                remarks.add("engine " + engineIds[row].address() + " is sent its share again");
             }
         }
-        return lines;
+        return remarks;
     }
 
     /** From the seed and the name alone, whatever the list's order: over 0, up to 1. */
-    private double unit(Id.Engine engine) {
-        long mixed = seed;
+    private double hashToUnitInterval(Id.Engine engine) {
+        long mixed = hashSeed;
         for (int k = 0; k < engine.address().length(); k++) {
             mixed = (mixed ^ engine.address().charAt(k)) * 0x100000001b3L;
         }
         return 1 - new SplittableRandom(mixed).nextDouble();
     }
 
-    private void grow(int size) {
-        ids = Arrays.copyOf(ids, size);
+    private void growRows(int size) {
+        engineIds = Arrays.copyOf(engineIds, size);
         up = Arrays.copyOf(up, size);
         cores = Arrays.copyOf(cores, size);
-        rank = Arrays.copyOf(rank, size);
-        place = Arrays.copyOf(place, size);
-        out = Arrays.copyOf(out, size);
-        said = Arrays.copyOf(said, size);
-        saidAt = Arrays.copyOf(saidAt, size);
-        credit = Arrays.copyOf(credit, size);
-        creditAt = Arrays.copyOf(creditAt, size);
-        told = Arrays.copyOf(told, size);
+        hashRank = Arrays.copyOf(hashRank, size);
+        position = Arrays.copyOf(position, size);
+        ownSubmissions = Arrays.copyOf(ownSubmissions, size);
+        reportedLoad = Arrays.copyOf(reportedLoad, size);
+        reportedAt = Arrays.copyOf(reportedAt, size);
+        coldCredit = Arrays.copyOf(coldCredit, size);
+        coldCreditAt = Arrays.copyOf(coldCreditAt, size);
+        remarkedRatio = Arrays.copyOf(remarkedRatio, size);
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -90,8 +90,8 @@
                         "s.over || s != null;", day("no-look-for-closes", trouble(What.GIVE_UP, 1, 6, 1),
                                 stop, trouble(What.BAD_CLIENTS, 1, 6, 1)), "after its client had gone"),
                 new Mutant("drains-unheard", List.of(
-                        new Change("Control.java", "            if (!up[k] || group.zones()",
-                                "            if (fleet.get(k).gone || group.zones()"),
+                        new Change("Control.java", "            if (!up[row] || group.zones()",
+                                "            if (engines.get(row).gone || group.zones()"),
                         new Change("net/Engines.java",
                                 "link.up = host.listing().health() == Event.Health.UP;",
                                 "link.up = host.listing().health() != Event.Health.GONE;")),
--- a/src/test/java/reedspring/ControlTest.java
+++ b/src/test/java/reedspring/ControlTest.java
@@ -294,7 +294,7 @@
             house.pass(300);
         }
         house.pass(20 * SECOND);
-        assertTrue(house.control.held() <= 24, "held: " + house.control.held());
+        assertTrue(house.control.heldEntries() <= 24, "held: " + house.control.heldEntries());
     }
 
     /** Which of two rows of one name is right nobody can tell; the later one has not been replaced. */
@@ -304,12 +304,12 @@
             House house = calm(2, plain());
             Listing ready = House.engine(9, Health.UP, 0);
             Listing drains = House.engine(9, Health.DRAINING, 0);
-            int held = house.control.held();
+            int held = house.control.heldEntries();
             house.list(reading, House.engine(8, Health.UP, 0), drains, House.engine(7, Health.UP, 0), ready);
-            assertEquals(held + 3, house.control.held());
+            assertEquals(held + 3, house.control.heldEntries());
             assertTrue(submitsTo(house, "e9") > 0, "ready by its last row");
             house.list(reading, House.engine(8, Health.UP, 0), ready, House.engine(7, Health.UP, 0), drains);
-            assertEquals(held + 3, house.control.held());
+            assertEquals(held + 3, house.control.heldEntries());
             assertEquals(0, submitsTo(house, "e9"), "drains by its last row");
         }
     }
--- a/src/test/java/reedspring/spread/SpreadTest.java
+++ b/src/test/java/reedspring/spread/SpreadTest.java
@@ -38,7 +38,7 @@
     private static Spread front(long seed, int fronts, double... cores) {
         Spread spread = new Spread(seed, house(fronts), START);
         for (int k = 0; k < cores.length; k++) {
-            spread.listed(k, engine(k), cores[k], true);
+            spread.engineListed(k, engine(k), cores[k], true);
         }
         return spread;
     }
@@ -58,7 +58,7 @@
         int best = 0;
         double least = Double.MAX_VALUE;
         for (int k = 0; k < worth.length; k++) {
-            double turn = spread.turn(k, 0, worth[k], now);
+            double turn = spread.tieBreak(k, 0, worth[k], now);
             if (turn < least) {
                 least = turn;
                 best = k;
@@ -72,15 +72,15 @@
         for (int k = 0; k < queries; k++) {
             int at = next(spread, worth, START);
             given[at] += 1.0 / queries;
-            spread.sent(at, 1);
-            spread.ended(at, 500);
+            spread.submissionSent(at, 1);
+            spread.submissionEnded(at, 500);
         }
         return given;
     }
 
     private static Set<Integer> homes(Spread spread, int engines) {
         Set<Integer> homes = new HashSet<>();
-        IntStream.range(0, engines).filter(spread::home).forEach(homes::add);
+        IntStream.range(0, engines).filter(spread::inSubset).forEach(homes::add);
         return homes;
     }
 
@@ -109,7 +109,7 @@
             int best = -1;
             double least = Double.MAX_VALUE;
             for (int k = 0; k < 4; k++) {
-                double load = spread.steps(k, own[k]) / cores[k] + 1e-6 * spread.turn(k, own[k], cores[k],
+                double load = spread.threadSteps(k, own[k]) / cores[k] + 1e-6 * spread.tieBreak(k, own[k], cores[k],
                         START);
                 best = load < least ? k : best;
                 least = Math.min(least, load);
@@ -127,7 +127,7 @@
         }
         assertEquals(0.5, given[3], 0.12, "share of half of the cores: " + Arrays.toString(given));
         Spread alike = front(9, 12, alike(4));
-        IntStream.range(0, 20).forEach(threads -> assertEquals(threads, alike.steps(1, threads)));
+        IntStream.range(0, 20).forEach(threads -> assertEquals(threads, alike.threadSteps(1, threads)));
     }
 
     @Example
@@ -144,13 +144,13 @@
         Spread one = new Spread(5, house(100), START);
         Spread other = new Spread(5, house(100), START);
         List<Integer> order = new ArrayList<>(IntStream.range(0, 40).boxed().toList());
-        order.forEach(k -> one.listed(k, engine(k), 8, true));
+        order.forEach(k -> one.engineListed(k, engine(k), 8, true));
         java.util.Collections.reverse(order);
-        order.forEach(k -> other.listed(k, engine(k), 8, true));
+        order.forEach(k -> other.engineListed(k, engine(k), 8, true));
         assertEquals(homes(one, 40), homes(other, 40));
         Set<Integer> before = homes(one, 40);
         int outside = IntStream.range(0, 40).filter(k -> !before.contains(k)).findFirst().orElseThrow();
-        one.listed(outside, engine(outside), 8, false);
+        one.engineListed(outside, engine(outside), 8, false);
         assertEquals(before, homes(one, 40), "one that leaves outside the circle moves nothing in it");
     }
 
@@ -173,7 +173,7 @@
                 Spread spread = front(1_000 * seed + f, 100, alike(80));
                 met.addAll(homes(spread, 80));
                 for (int k = 0; k < 80; k += 2) {
-                    spread.listed(k, engine(k), 8, false);
+                    spread.engineListed(k, engine(k), 8, false);
                 }
                 metOfHalf.addAll(homes(spread, 80));
             }
@@ -188,21 +188,21 @@
     @Example
     void theCircleGrowsWithWhatIsOut() {
         Spread spread = front(3, 200, alike(40));
-        assertEquals(6, spread.circle());
+        assertEquals(6, spread.subsetSize());
         for (int k = 0; k < 5; k++) {
-            spread.sent(k, 1);
+            spread.submissionSent(k, 1);
         }
-        assertEquals(10, spread.circle());
-        IntStream.range(0, 5).forEach(k -> spread.ended(k, 300));
-        assertEquals(6, spread.circle());
+        assertEquals(10, spread.subsetSize());
+        IntStream.range(0, 5).forEach(k -> spread.submissionEnded(k, 300));
+        assertEquals(6, spread.subsetSize());
     }
 
     @Example
     void aReportCountsByItsAge() {
         double[] worth = alike(4);
         Spread spread = front(4, 1, worth);
-        spread.sent(3, 1);
-        spread.ended(3, 300);
+        spread.submissionSent(3, 1);
+        spread.submissionEnded(3, 300);
         Load busy = new Load(1, Double.NaN, Double.NaN, Double.NaN, 16);
         Load idle = new Load(0.2, Double.NaN, Double.NaN, Double.NaN, 0);
         assertTrue(given(spread, worth, START, busy, idle) < 0.2, "a moment later");
@@ -213,7 +213,7 @@
     /** How often the first is next, where it has just said one thing and the others another. */
     private static double given(Spread spread, double[] worth, long now, Load first, Load others) {
         for (int k = 0; k < worth.length; k++) {
-            spread.heard(k, k == 0 ? first : others, START);
+            spread.loadReported(k, k == 0 ? first : others, START);
         }
         int count = 0;
         for (int k = 0; k < 4_000; k++) {
@@ -227,8 +227,8 @@
     void aLieDrawsNoMoreThanItsBound() {
         double[] worth = alike(5);
         Spread spread = front(6, 1, worth);
-        spread.sent(3, 1);
-        spread.ended(3, 300);
+        spread.submissionSent(3, 1);
+        spread.submissionEnded(3, 300);
         Load busy = new Load(1, 1, 1, 100, 200);
         Load idle = new Load(0, 0, 0, 0, 0);
         assertTrue(given(spread, worth, START, idle, busy) < 0.55, "drawn by a lie");
@@ -242,8 +242,8 @@
                 3);
         assertEquals(Load.UNKNOWN, load);
         Spread spread = front(7, 1, alike(4));
-        spread.sent(3, 1);
-        spread.ended(3, 300);
+        spread.submissionSent(3, 1);
+        spread.submissionEnded(3, 300);
         assertEquals(0.25, given(spread, alike(4), START, load, load), 0.06);
     }
 
@@ -256,10 +256,10 @@
         List<Long> trials = new ArrayList<>();
         for (int f = 0; f < fronts; f++) {
             Spread spread = front(f, fronts, alike(40));
-            if (spread.home(0)) {
-                for (long at = spread.rest(0, SECOND / 2, WORK); at < 60 * SECOND; ) {
+            if (spread.inSubset(0)) {
+                for (long at = spread.probeDelay(0, SECOND / 2, WORK); at < 60 * SECOND; ) {
                     trials.add(at);
-                    at += spread.rest(0, SECOND / 2, WORK);
+                    at += spread.probeDelay(0, SECOND / 2, WORK);
                 }
             }
         }
@@ -278,14 +278,14 @@
         for (int f = 0; f < 10; f++) {
             Spread spread = front(f, 10, alike(6));
             for (int k = 0; k < 100; k++) {
-                long back = spread.comeBack(SECOND / 2);
+                long back = spread.retryAfter(SECOND / 2);
                 assertTrue(back > 0 && back <= SECOND / 2, "named: " + back);
                 bins[(int) ((back - 1) / 250)]++;
             }
         }
         int most = Arrays.stream(bins).max().orElseThrow();
         assertTrue(most <= 130, "of 1,000 deferrals back within 25 ms: " + most);
-        assertEquals(0, front(1, 1, 8).comeBack(0), "where no time is heeded none is named");
+        assertEquals(0, front(1, 1, 8).retryAfter(0), "where no time is heeded none is named");
     }
 
     /** The rule's budget over any window, for all fronts together, whatever each sees. */
@@ -296,12 +296,12 @@
             List<Spread> all = IntStream.range(0, fronts).mapToObj(f -> front(f, fronts, alike(6))).toList();
             List<Long> sent = new ArrayList<>();
             long born = START + 60 * SECOND;
-            all.forEach(spread -> spread.renewed(0, born));
+            all.forEach(spread -> spread.engineRestarted(0, born));
             for (long now = born; now < born + 8 * SECOND; now += 100) {
                 for (int k = 0; k < 40; k++) {
                     Spread spread = all.get(chance.nextInt(fronts));
-                    if (spread.coldRoom(0, 1, WORK, now)) {
-                        spread.sent(0, 1);
+                    if (spread.coldStartAdmits(0, 1, WORK, now)) {
+                        spread.submissionSent(0, 1);
                         sent.add(now);
                     }
                 }
@@ -330,15 +330,15 @@
                 List<Spread> all = new ArrayList<>();
                 for (int f = 0; f < fronts; f++) {
                     Spread spread = new Spread(f, house(fronts, rule), START);
-                    spread.listed(0, engine(0), 8, true);
-                    spread.renewed(0, born);
+                    spread.engineListed(0, engine(0), 8, true);
+                    spread.engineRestarted(0, born);
                     all.add(spread);
                 }
                 int came = 0;
                 for (long now = born + idle * SECOND; now < born + (idle + 1) * SECOND; now += 100) {
                     for (Spread spread : all) {
-                        if (spread.coldRoom(0, 1, WORK, now)) {
-                            spread.sent(0, 1);
+                        if (spread.coldStartAdmits(0, 1, WORK, now)) {
+                            spread.submissionSent(0, 1);
                             came++;
                         }
                     }
@@ -354,23 +354,23 @@
     @Example
     void aFrontThatHasJustStartedSendsColdEnginesNothing() {
         Spread spread = front(1, 1, alike(2));
-        spread.renewed(0, START);
-        assertTrue(!spread.coldRoom(0, 1, WORK, START + 2 * SECOND - 1));
-        assertTrue(spread.coldRoom(0, 1, WORK, START + 2 * SECOND));
+        spread.engineRestarted(0, START);
+        assertTrue(!spread.coldStartAdmits(0, 1, WORK, START + 2 * SECOND - 1));
+        assertTrue(spread.coldStartAdmits(0, 1, WORK, START + 2 * SECOND));
     }
 
     @Example
     void operatorsAreToldOnceWhenAnEngineIsSentLessAndOnceWhenAgainItsShare() {
         Spread spread = front(1, 1, alike(3));
         double[] worth = alike(3);
-        assertEquals(List.of(), spread.changes(k -> worth[k], START));
+        assertEquals(List.of(), spread.trafficRemarks(k -> worth[k], START));
         worth[1] = 1.2;
-        assertEquals(1, spread.changes(k -> worth[k], START).size());
-        assertEquals(List.of(), spread.changes(k -> worth[k], START));
+        assertEquals(1, spread.trafficRemarks(k -> worth[k], START).size());
+        assertEquals(List.of(), spread.trafficRemarks(k -> worth[k], START));
         worth[1] = 5;
-        assertEquals(List.of(), spread.changes(k -> worth[k], START), "half way back is no news");
+        assertEquals(List.of(), spread.trafficRemarks(k -> worth[k], START), "half way back is no news");
         worth[1] = 8;
-        assertTrue(spread.changes(k -> worth[k], START).get(0).contains("its share again"));
+        assertTrue(spread.trafficRemarks(k -> worth[k], START).get(0).contains("its share again"));
     }
 
     /** Rows are used again by other engines, in any order of events; what is held is bounded by them. */
@@ -388,26 +388,26 @@
                 int at = chance.nextInt(rows + 1);
                 if (at == rows && rows < 40 || rows == 0) {
                     ids[rows] = step;
-                    spread.listed(rows++, engine(step), 1 + chance.nextInt(16), true);
+                    spread.engineListed(rows++, engine(step), 1 + chance.nextInt(16), true);
                 } else if (at < rows && chance.nextInt(10) == 0) {
                     // A row goes to another engine only when nothing is out on it.
                     ids[at] = out[at] == 0 ? step : ids[at];
-                    spread.listed(at, engine(ids[at]), 1 + chance.nextInt(16), chance.nextBoolean());
+                    spread.engineListed(at, engine(ids[at]), 1 + chance.nextInt(16), chance.nextBoolean());
                 } else if (at < rows && chance.nextBoolean()) {
-                    spread.sent(at, chance.nextInt(5));
+                    spread.submissionSent(at, chance.nextInt(5));
                     out[at]++;
                 } else if (at < rows && out[at] > 0) {
-                    spread.ended(at, chance.nextInt(9_000));
+                    spread.submissionEnded(at, chance.nextInt(9_000));
                     out[at]--;
                 } else if (at < rows) {
-                    spread.heard(at, Load.UNKNOWN.with("util", chance.nextDouble()), now);
+                    spread.loadReported(at, Load.UNKNOWN.with("util", chance.nextDouble()), now);
                 }
                 for (int k = 0; k < rows; k++) {
-                    double turn = spread.turn(k, chance.nextInt(9), chance.nextDouble() * 8, now);
-                    assertTrue(turn >= 0 && turn < 2 && turn < 1 == spread.home(k), "turn " + turn);
+                    double turn = spread.tieBreak(k, chance.nextInt(9), chance.nextDouble() * 8, now);
+                    assertTrue(turn >= 0 && turn < 2 && turn < 1 == spread.inSubset(k), "turn " + turn);
                 }
-                assertTrue(spread.circle() >= 6, "circle " + spread.circle());
-                long rest = spread.rest(chance.nextInt(Math.max(1, rows)), 1 + chance.nextInt(9_000), WORK);
+                assertTrue(spread.subsetSize() >= 6, "circle " + spread.subsetSize());
+                long rest = spread.probeDelay(chance.nextInt(Math.max(1, rows)), 1 + chance.nextInt(9_000), WORK);
                 assertTrue(rest > 0, "rest " + rest);
             }
         }
