--- a/src/main/java/reedspring/api/Action.java
+++ b/src/main/java/reedspring/api/Action.java
@@ -1,36 +1,41 @@
 package reedspring.api;
 
-/** What a front asks for. Times and spans are whole tenths of a millisecond. */
+/** A request of the scheduler to its front. Times and spans are in ticks: whole tenths of a millisecond. */
 public sealed interface Action {
     /**
-     * {@code timeout} 0: until the client leaves. Past {@code departBy} it must not begin any more, whatever
-     * held it up on its way out: {@code Long.MAX_VALUE} where nothing but the timeout bounds that.
+     * Sends a query to an engine.
+     *
+     * @param timeout 0 to wait until the client's deadline
+     * @param departBy the latest time at which it may be sent, whatever delays it; {@code Long.MAX_VALUE} if
+     *         only the timeout limits it
      */
     record Submit(Id.Query query, Id.Engine engine, long timeout, long departBy) implements Action {
     }
 
-    /** Holds for later submissions and, at once, for those that are out; 0 to 3, 1 is usual. */
+    /** Sets the priority of the query's current and later submissions: 0 to 3, by default 1. */
     record SetPriority(Id.Query query, int priority) implements Action {
     }
 
     record Cancel(Id.Query query, Id.Submission submission) implements Action {
     }
 
-    /** Final: a retry is safe. {@code comeBack} 0: no time is named. */
+    /** A final answer: not served, a retry is safe after {@code comeBack}; 0 to name no time. */
     record Defer(Id.Query query, long comeBack) implements Action {
     }
 
-    /** Final, with no promise. */
+    /** A final answer: not served, and a retry may not be safe. */
     record Kill(Id.Query query) implements Action {
     }
 
+    /** Starts a timer that ends with {@link Event.Woken}. */
     record WakeMe(Id.Timer timer, long span) implements Action {
     }
 
-    /** Asks discovery for changes from now on. */
+    /** Subscribes to the engine list of discovery. */
     record FollowEngines() implements Action {
     }
 
+    /** Logs a message for operators. */
     record Remark(String text) implements Action {
     }
 }
--- a/src/main/java/reedspring/api/Deployment.java
+++ b/src/main/java/reedspring/api/Deployment.java
@@ -5,23 +5,37 @@
 import java.util.Set;
 
 /**
- * What a front is told once, at its start. Times and spans are whole tenths of a millisecond. A span that
- * something has to fit into is rounded down, a span that has to pass first is rounded up.
+ * The configuration that the scheduler of a front gets when it starts. Times and spans are in ticks: whole
+ * tenths of a millisecond. Upper limits are rounded down and minimum waiting times are rounded up.
+ *
+ * @param fronts the number of fronts that share the engines
+ * @param ration the budget for resubmissions, null if they are not limited
+ * @param keyRest the delay of an order key after a query that may still be running
+ * @param overShareValue the factor on the value of queries of a tenant that exceeds its rate
+ * @param noteEvery the interval at which engines report the progress of a running query
+ * @param pages whether an engine that exceeds its memory swaps
  */
 public record Deployment(int fronts, List<ResourceGroup> groups, List<Tenant> tenants,
                          Map<Id.Kind, Machine> machines,
                          Allowed allowed, Discovery discovery, ColdStart coldStart, Ration ration,
                          long keyRest, double overShareValue, long noteEvery, boolean pages) {
 
-    /** What a second run of a query of the group would mean. */
+    /** What a query of the group changes, and so whether it may run twice. */
     public enum Effect { READ_ONLY, TOKENED, MUTATING }
 
     /** The engines that recognise a repeat of a tokened query. */
     public enum Recognised { ALL, ZONE, CELL }
 
     /**
-     * {@code lateValue} is the part of the value that an answer past its target has; {@code zones} and
-     * {@code kinds} are null where the group may go anywhere.
+     * A class of queries with common targets and rules.
+     *
+     * @param targetBase the constant part of the target runtime
+     * @param targetPerWork the part of the target runtime that is proportional to the work per thread
+     * @param lateValue the fraction of the value that remains for an answer past its target
+     * @param recognisedFor how long engines recognise a repeat
+     * @param ordered whether queries with the same order key run one at a time
+     * @param zones the zones in which its queries may run, null for all
+     * @param kinds the kinds of engine on which its queries may run, null for all
      */
     public record ResourceGroup(long targetBase, double targetPerWork, double value, double lateValue,
                                 int threads, Effect effect,
@@ -29,25 +43,49 @@
                                 Set<Id.Zone> zones, Set<Id.Kind> kinds) {
     }
 
+    /** {@code queriesPerSecond} is the agreed rate over all fronts; 0 for no limit. */
     public record Tenant(double share, double queriesPerSecond) {
     }
 
-    /** A size that is not told is 0. */
+    /** The size of a kind of engine; 0 if unknown. */
     public record Machine(double cores, double memoryMb) {
     }
 
+    /**
+     * The operations that the environment supports.
+     *
+     * @param comeBack whether clients honour a retry time
+     * @param submissions the maximum number of submissions of one query
+     * @param longestComeBack the longest retry time that clients honour
+     */
     public record Allowed(boolean cancel, boolean comeBack, boolean priorities,
                           int submissions, long longestComeBack) {
     }
 
-    /** {@code mustAsk}: the engine list comes only to a front that asks, once in {@code askWithin}. */
+    /**
+     * How the engine list is obtained.
+     *
+     * @param mustAsk whether the front gets the list only if it subscribes
+     * @param askWithin the time within which it has to subscribe after its start or after an error
+     */
     public record Discovery(boolean mustAsk, long askWithin) {
     }
 
+    /**
+     * How an engine warms up after its start.
+     *
+     * @param from the initial fraction of its speed
+     * @param ramp the time until it reaches its full speed
+     * @param multiple the work that overloads it, as a multiple of what it can run during the window
+     * @param window the period over which that work is measured
+     */
     public record ColdStart(double from, long ramp, double multiple, long window) {
     }
 
-    /** Null where further submissions are not rationed. */
+    /**
+     * The budget for resubmissions by one front during a window: a constant number and a fraction of the
+     * queries accepted.
+     */
     public record Ration(int free, double perQuery, long window) {
     }
 }
--- a/src/main/java/reedspring/api/Event.java
+++ b/src/main/java/reedspring/api/Event.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** What a front is told. Times and spans are whole tenths of a millisecond. */
+/** An input of the scheduler. Times and spans are in ticks: whole tenths of a millisecond. */
 public sealed interface Event {
-    /** How a list of engines is to be read. */
+    /** Whether a list holds only changes, is complete, or was known before discovery was asked. */
     enum Reading { CHANGES, COMPLETE, REMEMBERED }
 
     enum Health { UP, DRAINING, GONE }
 
-    /** {@code startedAt} is 0 for an engine that started long ago. */
+    /** An entry of the engine list; {@code startedAt} is 0 for an engine that started long ago. */
     record Listing(Id.Engine engine, Id.Kind kind, Id.Zone zone, Id.Cell cell, Health health,
             long startedAt) {
     }
@@ -17,51 +17,70 @@
     record EnginesListed(Reading reading, List<Listing> entries) implements Event {
     }
 
-    /** A call to discovery failed, or its subscription broke; the list held so far stays valid. */
+    /** A call to discovery failed or its subscription was lost; the last list remains valid. */
     record ListUnavailable() implements Event {
     }
 
-    /** {@code estimate} is the work of all threads; it and {@code needMb} may be 0, {@code key} null. */
+    /**
+     * The front has accepted a query.
+     *
+     * @param estimate the estimated work of all threads, 0 if unknown
+     * @param needMb the estimated memory, 0 if unknown
+     * @param leavesAt until when the client waits
+     * @param key null if it has no order key
+     */
     record Taken(Id.Query query, Id.Group group, Id.Tenant tenant, Id.DataSet dataSet, long estimate,
                  double needMb, long leavesAt, Id.OrderKey key) implements Event {
     }
 
-    /** The client has gone; nothing more is owed. */
+    /** The client has gone, so no answer is due. */
     record Left(Id.Query query) implements Event {
     }
 
+    /** The submission has started to return rows. */
     record StreamBegan(Id.Query query, Id.Submission submission) implements Event {
     }
 
-    /** {@code unseen}: how much earlier it may have come while the front itself stood still. */
+    /**
+     * A progress report: {@code share} is the completed fraction of the submission. It may have arrived
+     * earlier than it was read by up to {@code unseen}, because the front itself was stalled.
+     */
     record ShareDone(Id.Query query, Id.Submission submission, double share, long unseen) implements Event {
     }
 
     /**
-     * {@code work} is what the engine reports as used, 0 if it reports none. {@code took} may be too long by
-     * up to {@code unseen}, where the front itself stood still before it saw the end.
+     * A submission has ended.
+     *
+     * @param over whether the query has its final answer or its client has gone
+     * @param took the time since it was sent
+     * @param unseen by how much {@code took} may be too long, because the front itself was stalled
+     * @param work the work reported by the engine, 0 if it reports none
      */
     record Closed(Id.Query query, Id.Submission submission, Outcome outcome, boolean over, long took,
                   long unseen, long work) implements Event {
     }
 
-    /** Of an engine, as it came with an answer; late, noisy and perhaps wrong. */
+    /** An engine's load as reported with an answer: delayed, noisy and possibly wrong. */
     record LoadReported(Id.Engine engine, Load load) implements Event {
     }
 
-    /** The front ends: all that it has taken is answered by then, and so is what it still takes. */
+    /** The front shuts down: all queries, including those it still accepts, must be answered by then. */
     record Leaving(long by) implements Event {
     }
 
+    /** A timer that was started with {@link Action.WakeMe} has expired. */
     record Woken(Id.Timer timer) implements Event {
     }
 
+    /** How a submission ended. */
     enum Outcome {
         FINISHED(false), ERROR(false), TURNED_AWAY(true), TIMED_OUT(false), UNREACHABLE(true), BROKEN(false),
         CANCELLED(false), NOT_SENT(true),
-        /** Kept by the front: when it could leave, its engine was not up or its time to begin was over. */
+        /**
+         * Not sent: by the time it could be, its engine was not up or its latest time to start had passed.
+         */
         WITHHELD(true),
-        /** It ran well, and its answer could not be kept for the client: another run would fare no better. */
+        /** It finished, but its answer could not be stored for the client, nor could that of another run. */
         NOT_KEPT(false);
 
         private final boolean neverRan;
@@ -70,12 +89,12 @@
             this.neverRan = neverRan;
         }
 
-        /** Whether the outcome proves that the engine did not begin the query. */
+        /** Whether the outcome proves that the engine did not start the query. */
         public boolean neverRan() {
             return neverRan;
         }
 
-        /** Whether the engine may still be at work on it. */
+        /** Whether the engine may still be running it. */
         public boolean mayStillRun() {
             return this == TIMED_OUT || this == BROKEN || this == CANCELLED;
         }
--- a/src/main/java/reedspring/api/Id.java
+++ b/src/main/java/reedspring/api/Id.java
@@ -1,29 +1,29 @@
 package reedspring.api;
 
-/** The kinds of id; none is built from another, and none can be passed where another is meant. */
+/** Typed identifiers, so that none can be passed in place of another. */
 public sealed interface Id {
-    /** A query as one front knows it. */
+    /** A query of one front. */
     record Query(long value) implements Id {
     }
 
-    /** One submission of a query: 0, 1, 2 ... in the order in which they were made. */
+    /** A submission of a query, numbered from 0. */
     record Submission(int value) implements Id {
     }
 
-    /** A query engine, by what its protocol names it: an address, or a name that outlives one. */
+    /** A query engine by the name that its protocol uses: an address or a permanent name. */
     record Engine(String address) implements Id {
     }
 
-    /** A resource group: its place in {@link Deployment#groups()}. */
+    /** A resource group, as an index into {@link Deployment#groups()}. */
     record Group(int index) implements Id {
     }
 
-    /** A tenant: its place in {@link Deployment#tenants()}, or {@link #NOBODY}. */
+    /** A tenant, as an index into {@link Deployment#tenants()}, or {@link #NOBODY}. */
     record Tenant(int index) implements Id {
         public static final Tenant NOBODY = new Tenant(-1);
     }
 
-    /** The key that orders queries of a group which asks for order. */
+    /** A key whose queries run one at a time, in groups that require order. */
     record OrderKey(String value) implements Id {
     }
 
@@ -32,19 +32,19 @@
         public static final DataSet UNKNOWN = new DataSet(-1);
     }
 
-    /** A place that engines stand in. */
+    /** A location of engines. */
     record Zone(String name) implements Id {
     }
 
-    /** A set of engines that know of one another's repeats. */
+    /** A set of engines that recognise repeats of queries that ran on any of them. */
     record Cell(long value) implements Id {
     }
 
-    /** A kind of machine. */
+    /** A kind of machine that engines run on. */
     record Kind(String name) implements Id {
     }
 
-    /** A timer that was asked for. */
+    /** A timer started with {@link Action.WakeMe}. */
     record Timer(long value) implements Id {
     }
 }
--- a/src/main/java/reedspring/api/Load.java
+++ b/src/main/java/reedspring/api/Load.java
@@ -1,13 +1,21 @@
 package reedspring.api;
 
 /**
- * What an engine says of its own load. Shares from 0 to 1, counts from 0 on; NaN where it does not say. The
- * figures are late, noisy, and may be wrong.
+ * An engine's load as it reports it: delayed, noisy and possibly wrong. NaN for values that it does not
+ * report.
+ *
+ * @param cores the utilisation of its cores, from 0 to 1
+ * @param memory the utilisation of its memory, from 0 to 1
+ * @param disks the utilisation of its disks, from 0 to 1
+ * @param inHand the number of running queries
+ * @param waiting the number of queued queries
  */
 public record Load(double cores, double memory, double disks, double inHand, double waiting) {
     public static final Load UNKNOWN = new Load(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-    /** The same with one more figure, by the name that the settings give it; unknown names change nothing. */
+    /**
+     * A copy with one value set, by its name in the settings; unknown names and invalid values are ignored.
+     */
     public Load with(String name, double value) {
         if (!(value >= 0 && value < 1e9)) {
             return this;
--- a/src/main/java/reedspring/core/policy/AcceptBackoff.java
+++ b/src/main/java/reedspring/core/policy/AcceptBackoff.java
@@ -1,33 +1,33 @@
 package reedspring.core.policy;
 
 /**
- * How long a listener rests after an accept that failed. A failure that concerns one connection costs
- * nothing; one for lack of something is tried again within milliseconds, and less often while it goes on
- * failing, so that the event loop does not spin on a queue that it can't empty. Times are whole tenths of a
+ * The delay after a failed accept. A failure that concerns a single connection causes no delay. After a
+ * failure for lack of resources the listener retries within milliseconds, with exponential backoff, so that
+ * the event loop does not spin on a backlog that it can't drain. Times are in ticks: whole tenths of a
  * millisecond.
  */
 public final class AcceptBackoff {
-    /** What an accept failed for. */
+    /** Why an accept failed. */
     public enum Cause {
-        /** The connection itself: it was gone before it was accepted, or the network failed under it. */
+        /** The connection was aborted before it was accepted, or its network failed. */
         CONNECTION,
-        /** No memory or buffers in the kernel, which is mostly over at once. */
+        /** The kernel is out of memory or buffers, usually only for a moment. */
         MEMORY,
-        /** No descriptors in the process or on the machine, which lasts until something is closed. */
+        /** The process or the machine is out of file descriptors, until some are closed. */
         DESCRIPTORS,
         OTHER
     }
 
     private static final long TICKS_PER_MS = 10;
     private static final long MIN_DELAY_TICKS = TICKS_PER_MS;
-    /** No client notices more, and a failing call every 20 ms costs no more than the timers do. */
+    /** Clients do not notice this delay, and a failing call every 20 ms costs no more than the timers do. */
     private static final long MAX_DELAY_TICKS = 20 * TICKS_PER_MS;
-    /** Descriptors come back one by one as connections end; a look every 50 ms meets each soon enough. */
+    /** Descriptors become free one by one as connections end; a retry every 50 ms is frequent enough. */
     private static final long MAX_DESCRIPTOR_DELAY_TICKS = 50 * TICKS_PER_MS;
 
     private long delay;
 
-    /** An accept has failed; the time to rest before the next, 0 to go on at once. */
+    /** Records a failed accept and returns the delay before the next one; 0 for none. */
     public long failed(Cause cause) {
         if (cause == Cause.CONNECTION) {
             return 0;
@@ -37,6 +37,7 @@
         return delay;
     }
 
+    /** Records a successful accept, which resets the backoff. */
     public void succeeded() {
         delay = 0;
     }
--- a/src/main/java/reedspring/core/policy/EngineStartTime.java
+++ b/src/main/java/reedspring/core/policy/EngineStartTime.java
@@ -1,26 +1,26 @@
 package reedspring.core.policy;
 
 /**
- * When an engine started, from a Unix time that another machine names. Either machine's wall clock may have
- * been stepped since this process began, by seconds or by an hour, so that the time is read in two ways:
- * against the wall clock as it was when this process started, and against the wall clock as it is now. One
- * of the two is right for each kind of step. An engine that is taken for colder than it is gets a little
- * less work; one that is taken for warm falls over. So the later of the two counts, unless it lies in the
- * future.
+ * Estimates when an engine started, from a Unix time reported by another machine. The wall clock of either
+ * machine may have been stepped since this process started, by seconds or by an hour. So the time is
+ * converted in two ways: relative to the wall clock when this process started, and relative to the current
+ * wall clock; for each kind of step one of the two is right. The later one is used unless it is in the
+ * future, because an engine that is wrongly taken for cold only gets a little less work, while one that is
+ * wrongly taken for warm is overloaded.
  *
- * <p>Times are whole tenths of a millisecond by the process's own steady clock.
+ * <p>Times are in ticks (whole tenths of a millisecond) of the process's monotonic clock.
  */
 public final class EngineStartTime {
-    /** What discovery has to tell counts as told by then; a start that it tells of is no older, mostly. */
+    /** The delay within which discovery usually reports a started engine: 7 s. */
     private static final long MAX_NOTICE_DELAY_TICKS = 70_000;
 
     private EngineStartTime() {
     }
 
     /**
-     * @param named the engine's start in Unix time, as another machine names it
-     * @param now Unix time as of this process's start, carried on by its steady clock
-     * @param wallClock Unix time by the wall clock as it is now
+     * @param reportedStart the engine's start in Unix time, as reported by another machine
+     * @param now Unix time as of this process's start, advanced by its monotonic clock
+     * @param wallClock Unix time by the current wall clock
      */
     public static long estimate(long reportedStart, long now, long wallClock) {
         long byWallClockAtStart = reportedStart;
@@ -34,11 +34,10 @@
     }
 
     /**
-     * The same for an engine that a live stream of changes has just named for the first time. One that is
-     * said to have started long before the stream last said anything contradicts that: its machine's clock
-     * is off.
+     * Corrects the estimate for an engine that has just appeared in a live stream of changes. A start long
+     * before the previous message of the stream contradicts that: the clock of the engine's machine is wrong.
      *
-     * @param lastHeard when the stream last said anything before it
+     * @param lastHeard when the previous message of the stream arrived
      */
     public static long ofNewEngine(long estimate, long lastHeard) {
         return estimate < lastHeard - MAX_NOTICE_DELAY_TICKS ? lastHeard : estimate;
--- a/src/main/java/reedspring/core/policy/QueryLifecycle.java
+++ b/src/main/java/reedspring/core/policy/QueryLifecycle.java
@@ -3,32 +3,32 @@
 import reedspring.api.Deployment.ResourceGroup;
 
 /**
- * One query's way from its arrival to its final answer, and the one place that says what may be done with it
- * now. Whoever is about to start, send or answer something asks here first and does it only if the verdict is
- * {@link Verdict#ALLOWED}; the verdict is also the reason that is counted and logged. A verdict that is a
- * breach means that its caller was about to break a rule: the front does not do it, counts it and tells of
- * it.
+ * The state machine of one query from its arrival to its final answer, and the single place that decides
+ * which operations are permitted. Callers ask before they start or send a submission or answer the query, and
+ * proceed only if the verdict is {@link Verdict#ALLOWED}; the verdict is also the reason that is counted and
+ * logged. A verdict that is a breach means that the caller was about to violate a rule: the front then does
+ * not perform the operation, but counts and logs it.
  *
- * <p>Make one for each query that is taken. Not for use by several threads.
+ * <p>Create one for each accepted query. Not thread-safe.
  */
 public final class QueryLifecycle {
-    /** Whether something may be done, or why not. */
+    /** Whether an operation is permitted, or why not. */
     public enum Verdict {
         ALLOWED(false),
         /** The query has its final answer, or its client has gone. */
         QUERY_OVER(false),
-        /** Its client has closed its connection or taken the query back. */
+        /** The client has closed its connection or withdrawn the query. */
         CLIENT_GONE(false),
-        /** Its client waits no longer. */
+        /** The client no longer waits. */
         DEADLINE_PASSED(false),
-        /** The engines that would recognise the repeat forget the first attempt by then. */
+        /** The engines that would recognise a repeat may have forgotten the first submission. */
         REPEAT_FORGOTTEN(false),
-        /** The engine drains, has gone, or is another process than the one that was chosen. */
+        /** The engine is draining, has gone, or is not the process that was chosen. */
         ENGINE_NOT_READY(false),
-        /** Two attempts would be out at once. */
+        /** Another submission of the query is outstanding. */
         ATTEMPT_OUT(true),
         ATTEMPTS_USED_UP(true),
-        /** What must not run twice may have run. */
+        /** The query must not run twice and may have run. */
         UNSAFE_REPEAT(true),
         /** A retry by the client would not be safe. */
         UNSAFE_DEFERRAL(true),
@@ -44,29 +44,29 @@
             return this == ALLOWED;
         }
 
-        /** Whether a caller that heeds the rules never gets it. */
+        /** Whether it shows a fault of the caller, which should not have asked. */
         public boolean breach() {
             return breach;
         }
     }
 
-    /** A final answer. */
+    /** The kinds of final answer. */
     public enum Answer {
         /** All rows of the result. */
         SERVED,
-        /** Refused; a retry is safe. */
+        /** Not served; a retry is safe. */
         DEFERRED,
-        /** Failed; nothing is promised. */
+        /** Not served; a retry may not be safe. */
         FAILED
     }
 
     /**
-     * What is known when an attempt's bytes are about to leave.
+     * The facts known immediately before a submission is written to its engine.
      *
-     * @param deadline until when its client waits
-     * @param lastStart the last moment at which it may begin, as its repeats are forgotten later
-     * @param clientThere whether the client's connection and the query still stand, by a look just now
-     * @param engineReady whether the engine still takes work, by the news as of now
+     * @param deadline until when the client waits
+     * @param lastStart the latest time at which it may start, as engines forget repeats afterwards
+     * @param clientThere whether the client is still connected and has not withdrawn the query
+     * @param engineReady whether the engine accepts work according to the latest information
      */
     public record SendFacts(long now, long deadline, long lastStart, boolean clientThere,
             boolean engineReady) {
@@ -81,13 +81,13 @@
     private boolean mayHaveRun;
     private boolean over;
 
-    /** @param mostAttempts how many attempts the deployment allows a query */
+    /** @param maxSubmissions how many submissions of a query the deployment allows */
     public QueryLifecycle(ResourceGroup group, int maxSubmissions) {
         this.group = group;
         this.maxSubmissions = maxSubmissions;
     }
 
-    /** Whether another attempt may be made; if so it is out from now on, until {@link #attemptEnded}. */
+    /** Starts another submission if permitted; it is then outstanding until {@link #attemptEnded}. */
     public Verdict startAttempt() {
         if (submission != SubmissionState.NONE) {
             return Verdict.ATTEMPT_OUT;
@@ -106,7 +106,7 @@
         return Verdict.ALLOWED;
     }
 
-    /** Whether the bytes of the attempt that was started may leave now; if so it may run from now on. */
+    /** Whether the started submission may be sent now; if so, it may run from now on. */
     public Verdict send(SendFacts facts) {
         if (over) {
             return Verdict.QUERY_OVER;
@@ -127,13 +127,13 @@
         return Verdict.ALLOWED;
     }
 
-    /** @param neverRan whether its end proves that the engine did not begin it */
+    /** @param neverRan whether its outcome proves that the engine did not start it */
     public void attemptEnded(boolean neverRan) {
         mayHaveRun |= submission == SubmissionState.SENT && !neverRan;
         submission = SubmissionState.NONE;
     }
 
-    /** Whether this may be the final answer; if so the query is over. */
+    /** Whether this may be the final answer; if so, the query is over. */
     public Verdict answer(Answer answer) {
         if (over) {
             return Verdict.SECOND_ANSWER;
@@ -145,17 +145,17 @@
         return Verdict.ALLOWED;
     }
 
-    /** The answer that a query gets which has to be given up now. */
+    /** The final answer if the query is given up now. */
     public Answer answerIfGivenUp() {
         return RepeatPolicy.mayDefer(group, mayHaveRunSoFar()) ? Answer.DEFERRED : Answer.FAILED;
     }
 
-    /** Its client has gone: nothing is owed any more. */
+    /** The client has gone, so no answer is due. */
     public void clientLeft() {
         over = true;
     }
 
-    /** Whether it has its final answer, or nobody waits for one. */
+    /** Whether it has its final answer or its client has gone. */
     public boolean over() {
         return over;
     }
--- a/src/main/java/reedspring/core/policy/package-info.java
+++ b/src/main/java/reedspring/core/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions with one job each, without I/O: time and facts are handed in, a verdict comes out. Start with
- * {@link reedspring.core.policy.QueryLifecycle}, which says of each query what may be done with it now.
+ * Independent policies without I/O: time and facts are parameters, and the result is a decision. The central
+ * one is {@link reedspring.core.policy.QueryLifecycle}, which decides what may be done with each query.
  */
 package reedspring.core.policy;
--- a/src/main/java/reedspring/spread/Spread.java
+++ b/src/main/java/reedspring/spread/Spread.java
@@ -12,35 +12,41 @@
 import reedspring.api.Load;
 
 /**
- * What one front may believe of the engines' load beyond its own threads there, and how it keeps out of step
- * with hundreds of fronts that it can't hear. It chooses nothing: it orders what ties, paces what is cold,
- * back or on trial so that the sum over all fronts stays within what an engine stands, and gives a phase to
- * what all would do at one moment. Reasons and figures: docs/spread.md.
+ * Coordinates one front with hundreds of others without communication between them: estimates the load that
+ * other fronts put on the engines, and spreads the fronts' traffic over engines and over time. It makes no
+ * choice of its own. It breaks ties between equally loaded engines, limits what is sent to cold and ejected
+ * engines so that the total over all fronts stays within what an engine can take, and adds jitter to what all
+ * fronts would otherwise do at the same time. Reasons and figures: docs/spread.md.
  *
- * <p>Make one beside {@code Control}; tell it what happens to a row ({@link #listed}, {@link #sent},
- * {@link #ended}, {@link #heard}) and ask it. Rows are the engines' dense indexes. No I/O, no clock: times
- * are handed in, whole tenths of a millisecond. Chance comes from the seed alone. Not for several threads.
+ * <p>Create one for each {@code Control}, report what happens to an engine ({@link #engineListed}, {@link
+ * #submissionSent}, {@link #submissionEnded}, {@link #loadReported}) and query it. Engines are named by their
+ * rows, which are dense indexes. Does no I/O and reads no clock: times are parameters, in ticks (whole tenths
+ * of a millisecond). Random numbers depend on the seed alone. Not thread-safe.
  */
 public final class Spread {
     /**
-     * Engines that nobody turns to first, on average over all fleets of that size, where seven fronts in ten
-     * are gone and the others don't know: with a circle of c of E engines each, N fronts leave E e^(-cN/E)
-     * out.
+     * The expected number of engines in no front's subset when seven of ten fronts have failed without the
+     * others knowing: with a subset of c of E engines each, N fronts leave out E e^(-cN/E) engines.
      */
     private static final double MAX_UNCOVERED_ENGINES = 0.05;
     private static final double SURVIVING_FRONTS_RATIO = 0.3;
-    /** One front alone needs room to go round what is slow, barred or full. */
+    /** Each front needs alternatives to engines that are slow, ejected or full. */
     private static final int MIN_SUBSET_SIZE = 6;
     private static final int SUBSET_ENGINES_PER_BUSY_ENGINE = 2;
-    /** A report can be wrong for good; it moves an engine's turn by no more than this, either way. */
+    /** The most by which a load report raises or lowers an engine's weight, as reports may be wrong. */
     private static final double MAX_REPORT_FACTOR = 2;
-    /** Of a barred engine's cores, what trials of all fronts that know it may take. */
+    /** The part of an ejected engine's cores that the probes of all fronts may use together. */
     private static final double PROBE_CORES_RATIO = 0.1;
-    /** Of what would push a cold engine over: one part may stand filled while another flows in. */
+    /**
+     * The part of a cold engine's limit that the fronts use: a full bucket of credit may be spent while as
+     * much is refilled.
+     */
     private static final double COLD_START_RATIO = 0.4;
-    /** Of the span that is named, what is left to chance. */
+    /** The random part of a delay. */
     private static final double JITTER_RATIO = 0.5;
+    /** The fractional part of the golden ratio: its multiples modulo 1 are spaced evenly. */
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
+    /** An engine's traffic is remarked on when its weight falls below the first, rises above the second. */
     private static final double REDUCED_BELOW_RATIO = 0.5;
     private static final double RESTORED_ABOVE_RATIO = 0.8;
 
@@ -49,14 +55,17 @@
     private final long hashSeed;
     private final long createdAt;
     private int rowCount;
+    // Indexed by row.
     private Id.Engine[] engineIds = new Id.Engine[8];
     private boolean[] up = new boolean[8];
     private double[] cores = new double[8];
     private double[] hashRank = new double[8];
+    // The engine's place in the order of hash ranks; the first ones form the subset.
     private int[] position = new int[8];
     private int[] ownSubmissions = new int[8];
     private double[] reportedLoad = new double[8];
     private long[] reportedAt = new long[8];
+    // Token bucket for submissions to a cold engine, in queries of the lightest group.
     private double[] coldCredit = new double[8];
     private long[] coldCreditAt = new long[8];
     private double[] remarkedRatio = new double[8];
@@ -77,9 +86,9 @@
         this.retryPhase = random.nextDouble();
     }
 
-    // ---- what happens
+    // ---- updates
 
-    /** A row's engine as the list has it now; another engine than before starts with nothing held of it. */
+    /** Sets a row's engine as currently listed; a different engine than before starts without statistics. */
     public void engineListed(int row, Id.Engine engine, double engineCores, boolean isUp) {
         if (row >= engineIds.length) {
             growRows(row * 2);
@@ -89,8 +98,8 @@
             engineIds[row] = engine;
             ownSubmissions[row] = 0;
             remarkedRatio[row] = 1;
-            // Rendezvous: what comes or goes moves no other. Sizes count by turns; in both they would count
-            // twice.
+            // Rendezvous hashing: an engine that joins or leaves moves no other. It is not weighted by size,
+            // which the tie break accounts for already.
             hashRank[row] = hashToUnitInterval(engine);
             engineRestarted(row, createdAt);
         }
@@ -99,7 +108,7 @@
         orderStale = true;
     }
 
-    /** The order of what is listed now: made when it is next asked for, once for a whole list. */
+    /** Updates the order of the engines. Done lazily, so that a whole list causes it only once. */
     private void refreshOrder() {
         if (!orderStale) {
             return;
@@ -117,15 +126,15 @@
         updateSubsetSize();
     }
 
-    /** A new process in the row. */
+    /** The row's engine is a new process. */
     public void engineRestarted(int row, long now) {
         reportedLoad[row] = Double.NaN;
-        // Hundreds of fronts whose part of a cold engine is under one query take turns.
+        // Random, so that hundreds of fronts, each with less than one query for a cold engine, take turns.
         coldCredit[row] = random.nextDouble();
         coldCreditAt[row] = now;
     }
 
-    /** {@code weight} is the work that is usual of its group, in that of the lightest group. */
+    /** @param weight the typical work of the query's group, relative to that of the lightest group */
     public void submissionSent(int row, double weight) {
         coldCredit[row] -= weight;
         busyEngines += ownSubmissions[row]++ == 0 ? 1 : 0;
@@ -138,7 +147,7 @@
         updateSubsetSize();
     }
 
-    /** A load report, by the time at which it came. */
+    /** @param now when the report arrived */
     public void loadReported(int row, Load load, long now) {
         double utilisation = Math.max(valueOrZero(load.cores()),
                 Math.max(valueOrZero(load.memory()), valueOrZero(load.disks())));
@@ -153,13 +162,13 @@
         return Double.isNaN(value) ? 0 : value;
     }
 
-    // ---- what ties
+    // ---- choice among equals
 
     /**
-     * The order of engines that are equal in own threads for each core, lower first: under 1 inside the
-     * circle. Each comes first by chance, as often as its worth is of all: drawn alike, the slow and the
-     * small took as many as the rest. Going round by turns was worse, as it seeks out what has not answered
-     * for longest.
+     * A random key that orders engines with equally many own threads per core, lowest first: below 1 inside
+     * the subset. Each engine comes first with a probability proportional to its weight: with equal
+     * probabilities, slow and small engines got as many queries as the others. Round robin was worse, as it
+     * prefers the engine that has not answered for longest.
      */
     public double tieBreak(int row, int ownThreads, double effectiveCores, long now) {
         double freeRatio = 1 - (ownThreads - threadSteps(row, ownThreads)) / sizeUnits(row);
@@ -170,9 +179,9 @@
     }
 
     /**
-     * Own threads in whole steps of a thread for each of the smallest engines that this one is worth. Where
-     * all are of a size that is the threads themselves. Else a front with few queries has one thread on a
-     * large engine and none on a small one nearly always, and would send both as many.
+     * Own threads rounded down to a multiple of the engine's size, in units of the smallest engine. If all
+     * engines have the same size, these are the threads themselves. Otherwise a front with few queries, which
+     * mostly has one thread on a large engine and none on a small one, would send both equally many.
      */
     public double threadSteps(int row, int ownThreads) {
         return Math.floor(ownThreads / sizeUnits(row) + 1e-9) * sizeUnits(row);
@@ -183,7 +192,7 @@
         return Math.max(1, cores[row] / smallestCores);
     }
 
-    /** Whether the front turns to it first, all else being equal. */
+    /** Whether the engine is in the subset that this front prefers, all else being equal. */
     public boolean inSubset(int row) {
         refreshOrder();
         return position[row] < subsetSize;
@@ -195,9 +204,10 @@
     }
 
     /**
-     * The part of its worth that a report leaves to an engine, or adds. What a report counted is over when a
-     * usual run is, and what came since nobody here knows: so it counts by its age in usual runs, and an old
-     * one not at all. Taken as it stands it would send all fronts to whatever looked idle last.
+     * The factor by which an engine's load report changes its weight. The queries that a report counted end
+     * within a typical runtime, and later ones are unknown here. So its influence decays with its age in
+     * typical runtimes: at full influence, a report would send all fronts to the engine that last looked
+     * idle.
      */
     private double reportFactor(int row, long now) {
         if (Double.isNaN(reportedLoad[row]) || typicalRunTicks <= 0) {
@@ -209,8 +219,8 @@
     }
 
     /**
-     * So many engines that, all fronts drawing blindly, hardly one is left out of every circle, also when
-     * most fronts have just died. Among few fronts that is all engines, and nothing is narrowed.
+     * Makes the subset so large that, although fronts choose theirs independently, hardly any engine is in
+     * none, even if most fronts have just failed. With few fronts the subset is all engines.
      */
     private void updateSubsetSize() {
         double required = upCount * Math.log(Math.max(1, upCount / MAX_UNCOVERED_ENGINES))
@@ -219,17 +229,18 @@
                 Math.max((int) Math.ceil(required), SUBSET_ENGINES_PER_BUSY_ENGINE * busyEngines));
     }
 
-    /** Of a number of fronts, how many have the engine in their circle and so come to know how it is. */
+    /** How many fronts are expected to have an engine in their subset and so to observe its health. */
     private double frontsPerEngine() {
         refreshOrder();
         return Math.max(1, deployment.fronts() * Math.min(1, subsetSize / Math.max(1.0, upCount)));
     }
 
-    // ---- paces
+    // ---- rates
 
     /**
-     * How long a barred engine rests before this front tries it: {@code least}, or so long that the trials of
-     * all fronts that know it take a small part of it, and never the same for all that barred it together.
+     * The time until this front probes an ejected engine: {@code minDelay}, or long enough for the probes of
+     * all fronts to use only a small part of the engine. Random, so that fronts that ejected an engine at the
+     * same time do not probe it together.
      */
     public long probeDelay(int row, long minDelay, double work) {
         double delayForRate = frontsPerEngine() * work / (PROBE_CORES_RATIO * Math.max(1, cores[row]));
@@ -237,13 +248,14 @@
     }
 
     /**
-     * Whether a query of that usual work fits into this front's part of what a cold engine stands. The part
-     * fills over the rule's window. A front that has just started can't know what it sent before, and sends
-     * nothing for a window. A part under one query fills to one in its turn, and the turn passes: kept for
-     * good, hundreds of fronts that had asked for nothing for some seconds had a query each, more in all than
-     * the engine stands.
+     * Whether a query fits into this front's part of a cold engine's limit: a token bucket that is refilled
+     * over the window of the cold start rule. A front that has just started does not know what it sent
+     * before, and sends nothing for one window. A part of less than one query accumulates to one, which
+     * expires after a time: without expiry, hundreds of fronts that had been idle for some seconds had one
+     * query each, more in total than the engine can take.
      *
-     * @param weight the query's usual work in that of the lightest group, {@code lightest}
+     * @param weight the typical work of the query's group, relative to that of the lightest group
+     * @param lightest the typical work of the lightest group, in ticks
      */
     public boolean coldStartAdmits(int row, double weight, double lightest, long now) {
         Deployment.ColdStart rule = deployment.coldStart();
@@ -265,9 +277,9 @@
     }
 
     /**
-     * How long a front may keep a whole query while its part is under one. What all keep and what flows in
-     * over a window has to fit into what the engine stands by then, which grows over its ramp; where it grows
-     * as fast as that, for all of it.
+     * How long a front whose part is less than one query may keep the credit for a whole one. The credit of
+     * all fronts and what is refilled during a window must fit into the engine's limit at that time, which
+     * grows during its ramp; if it grows fast enough, credit is kept for the whole ramp.
      */
     private static double creditHoldTicks(Deployment.ColdStart rule) {
         double rampPerTick = (1 / rule.from() - 1) / rule.ramp();
@@ -275,28 +287,26 @@
         return netPerTick <= 0 ? rule.ramp() : Math.min(rule.ramp(), (1 - COLD_START_RATIO) / netPerTick);
     }
 
-    // ---- phases
+    // ---- jitter
 
     /**
-     * A time to come back, at most the longest that is heeded: what is deferred together must not come
-     * together. Each differs from the last ones by as much as it can, which chance alone would not see to.
+     * A time after which a deferred client may retry, up to the longest that clients honour. Clients that are
+     * deferred together must not return together: successive values differ by as much as possible, which
+     * random ones would not.
      */
     public long retryAfter(long maxDelay) {
         retryPhase = (retryPhase + GOLDEN_RATIO_FRACTION) % 1;
         return maxDelay - (long) (JITTER_RATIO * maxDelay * retryPhase);
     }
 
-    /** The first of a regular moment's times: 1 to the whole period from now. */
+    /** The delay before the first run of a periodic task: random, from 1 to the whole period. */
     public long firstDelay(long period) {
         return 1 + random.nextLong(Math.max(1, period));
     }
 
     // ---- for operators
 
-    /**
-     * What changed for an engine since it was last told: one line when it is sent clearly less, or again
-     * more.
-     */
+    /** One line for each engine that is now sent clearly less than its share, or its share again. */
     public List<String> trafficRemarks(IntToDoubleFunction effectiveCores, long now) {
         List<String> remarks = new ArrayList<>();
         for (int row = 0; row < rowCount; row++) {
@@ -317,7 +327,7 @@
         return remarks;
     }
 
-    /** From the seed and the name alone, whatever the list's order: over 0, up to 1. */
+    /** A hash of the seed and the engine's name: greater than 0, at most 1. */
     private double hashToUnitInterval(Id.Engine engine) {
         long mixed = hashSeed;
         for (int k = 0; k < engine.address().length(); k++) {
--- a/src/main/java/reedspring/spread/package-info.java
+++ b/src/main/java/reedspring/spread/package-info.java
@@ -1,2 +1,2 @@
-/** Keeping hundreds of fronts that can't hear one another from doing the same at once; no I/O. */
+/** Spreads the load of hundreds of independent fronts over the engines and over time; no I/O. */
 package reedspring.spread;
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -109,9 +109,9 @@
                         "        List.copyOf(open.values()).forEach(front::giveUp);\n", "",
                         day("ends-unanswered", trouble(What.BAD_CLIENTS, 1, 6, 1)), "lost unanswered"),
                 new Mutant("cold-unheeded", "spread/Spread.java",
-                        "        Deployment.ColdStart rule = house.coldStart();\n        if (now - bornAt",
-                        "        Deployment.ColdStart rule = house.coldStart();\n        if (now >= 0) {\n"
-                                + "            return true;\n        }\n        if (now - bornAt",
+                        "Deployment.ColdStart rule = deployment.coldStart();\n        if (now - createdAt",
+                        "Deployment.ColdStart rule = deployment.coldStart();\n        if (now >= 0) {\n"
+                                + "            return true;\n        }\n        if (now - createdAt",
                         coldDay("cold-unheeded"), "cold engine pushed over"),
                 new Mutant("wall-clock-believed", List.of(
                         new Change("net/Clock.java",
