--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -135,7 +135,7 @@
         this.now = now;
         this.createdAt = now;
         this.actionSink = actions;
-        if (deployment.discovery().mustAsk()) {
+        if (deployment.discovery().mustSubscribe()) {
             actions.accept(new Action.FollowEngines());
         }
         actions.accept(new Action.WakeMe(PERIODIC_TIMER, spread.firstDelay(PERIOD_TICKS)));
@@ -228,7 +228,7 @@
     // ---- engines
 
     private void updateEngines(Event.EnginesListed list) {
-        if (list.reading() != Event.Reading.CHANGES) {
+        if (list.kind() != Event.Reading.CHANGES) {
             Set<Id.Engine> listedIds = list.entries().stream().map(Event.Listing::engine)
                     .collect(Collectors.toSet());
             engines.stream().filter(engine -> !engine.gone && !listedIds.contains(engine.id))
@@ -363,12 +363,12 @@
             lastHeardAt = now;
             Outcome outcome = closed.outcome();
             ownQueries[row]--;
-            spread.submissionEnded(row, closed.took());
+            spread.submissionEnded(row, closed.elapsed());
             if (outcome == Outcome.TIMED_OUT && !deployment.allowed().cancel() && !q.writtenOff) {
                 double expectedTicks = q.work / q.threads
                         * Math.exp(Double.isNaN(engineLogSlowdown[row]) ? 0 : engineLogSlowdown[row]);
                 long remainingTicks = (long) Math.min(MAX_ABANDONED_RUN_TICKS,
-                        Math.max(expectedTicks - closed.took(), closed.took()));
+                        Math.max(expectedTicks - closed.elapsed(), closed.elapsed()));
                 abandonedRuns.add(new AbandonedRun(now + remainingTicks, q.threads, q.needMb));
             } else if (!q.writtenOff) {
                 releaseResources(q);
@@ -376,14 +376,15 @@
             boolean isError = ERROR_OUTCOMES.contains(outcome);
             if (outcome == Outcome.FINISHED) {
                 errorRate[row] *= ejected[row] ? 0.5 : 0.75;
-                lastTimelyFinishAt = closed.took() - closed.unseen() <= 2 * scheduler.expectedRuntime(q)
+                lastTimelyFinishAt = closed.elapsed() - closed.arrivalUncertainty()
+                        <= 2 * scheduler.expectedRuntime(q)
                         + OVERDUE_GRACE_TICKS ? now : lastTimelyFinishAt;
                 updateSlowdown(closed, q, closed.work() > 0 ? closed.work() : q.work);
             } else if (isError) {
                 errorRate[row] = Math.max(errorRate[row] + 0.25 * (1 - errorRate[row]),
                         outcome == Outcome.UNREACHABLE ? EJECTION_ERROR_RATE : 0);
             } else if (outcome == Outcome.TIMED_OUT
-                    && (closed.took() - closed.unseen()) * q.threads > q.work) {
+                    && (closed.elapsed() - closed.arrivalUncertainty()) * q.threads > q.work) {
                 updateSlowdown(closed, q, q.work);
             }
             boolean failsTooOften = errorRate[row] >= EJECTION_ERROR_RATE
@@ -411,12 +412,13 @@
         }
 
         private void updateSlowdown(Event.Closed closed, Query q, double work) {
-            if (work > 0 && closed.took() > 0) {
+            if (work > 0 && closed.elapsed() > 0) {
                 double previous = Double.isNaN(engineLogSlowdown[row]) ? medianLogSlowdown
                         : engineLogSlowdown[row];
                 double observed = Math.max(-1.5,
-                        Math.min(3, observedLogSlowdown(previous, (closed.took() - closed.unseen())
-                        * q.threads, closed.took() * q.threads, work)));
+                        Math.min(3, observedLogSlowdown(previous,
+                        (closed.elapsed() - closed.arrivalUncertainty()) * q.threads,
+                        closed.elapsed() * q.threads, work)));
                 engineLogSlowdown[row] = Double.isNaN(engineLogSlowdown[row]) ? Math.min(observed, 0.7)
                         : engineLogSlowdown[row] + 0.15 * (observed - engineLogSlowdown[row]);
             }
@@ -513,7 +515,7 @@
 
     /** The usable fraction of a cold engine's cores according to the configured ramp; 1 for a warm engine. */
     private double rampFraction(int row) {
-        double initial = deployment.coldStart().from();
+        double initial = deployment.coldStart().initialSpeed();
         return !isCold(row) ? 1
                 : initial + (1 - initial) * Math.max(0, now - engineStartedAt[row])
                 / deployment.coldStart().ramp();
@@ -666,10 +668,11 @@
             } else if (event instanceof Event.StreamBegan began) {
                 queries.getOrDefault(began.query(), new Query()).streaming = true;
             } else if (event instanceof Event.Leaving leaving) {
-                queries.values().forEach(q -> q.clientDeadline = Math.min(q.clientDeadline, leaving.by()));
+                queries.values().forEach(q -> q.clientDeadline = Math.min(q.clientDeadline,
+                        leaving.deadline()));
             } else if (event instanceof Event.ListUnavailable) {
                 discoveryRetryAt = now + Math.min(TICKS_PER_SECOND / 2,
-                        deployment.discovery().askWithin() / 4);
+                        deployment.discovery().subscribeWithin() / 4);
             } else if (event instanceof Event.Woken woken && woken.timer().equals(PERIODIC_TIMER)) {
                 onPeriodicTimer();
             }
@@ -683,7 +686,7 @@
             q.tenant = taken.tenant().index() < 0 ? tenantAccounts.length - 1 : taken.tenant().index();
             q.key = group.ordered() ? taken.key() : null;
             q.arrivalNumber = arrivalCount++;
-            q.clientDeadline = taken.leavesAt();
+            q.clientDeadline = taken.clientDeadline();
             q.threads = group.threads();
             q.hasEstimate = taken.estimate() > 0;
             q.work = q.hasEstimate ? taken.estimate() * Math.exp(logEstimateError[q.group])
@@ -703,7 +706,7 @@
             recentArrivals = 1 + recentArrivals
                     * Math.exp((lastArrivalAt - now) / (double) ARRIVALS_WINDOW_TICKS);
             lastArrivalAt = now;
-            if (deployment.ration() != null) {
+            if (deployment.resubmissionBudget() != null) {
                 acceptedAt.add(now);
             }
             OrderKeyQueue keyQueue = q.key == null ? null
@@ -821,7 +824,7 @@
             double limit = concurrencyLimit();
             double freeThreads = limit - threadsInUse();
             idle = freeThreads >= limit;
-            memoryShare = frontShare() * (deployment.pages() ? 1
+            memoryShare = frontShare() * (deployment.swapsMemory() ? 1
                     : 1 + extraThreads / Math.max(1, baseConcurrencyLimit()));
             double memoryLimitMb = memoryShare * safeMemoryRatio() * sumOverAvailable(k -> memoryMb[k]);
             othersMemoryRatio = (1 / memoryShare - 1) * sumOverAvailable(k -> ownMemoryMb[k])
@@ -831,8 +834,8 @@
             List<Query> running = queries.values().stream()
                     .filter(q -> q.runningOn >= 0 && !q.writtenOff && !ejected[q.runningOn]).toList();
             running.forEach(q -> groupThreads[q.group] += isCold(q.runningOn) ? 0 : q.threads);
-            // At most half of the limit is charged for the largest running query: admitted on an idle front, it
-            // would otherwise keep out all small ones while it runs.
+            // At most half of the limit is charged for the largest running query: admitted on an idle front,
+            // it would otherwise keep out all small ones while it runs.
             freeMemoryMb = memoryLimitMb - sumOverAvailable(k -> ownMemoryMb[k])
                     + Math.max(0, running.stream()
                     .mapToDouble(q -> q.needMb).max().orElse(0) - memoryLimitMb * MAX_QUERY_MEMORY_RATIO);
@@ -922,7 +925,7 @@
                     continue;
                 }
                 if (!ejected[row] && !memoryFits(q, row)) {
-                    memoryShort = deployment.pages();
+                    memoryShort = deployment.swapsMemory();
                     continue;
                 }
                 if (ejected[row] && mayProbe(q, row)) {
@@ -969,10 +972,11 @@
          * all.
          */
         private boolean memoryFits(Query q, int row) {
-            return memoryMb[row] <= 0 || (!deployment.pages() || q.needMb <= freeMemoryMb || idle
+            return memoryMb[row] <= 0 || (!deployment.swapsMemory() || q.needMb <= freeMemoryMb || idle
                     || q.needMb * expectedRuntime(q) <= memoryCredit)
                     && (ownMemoryMb[row] <= 0 || ownMemoryMb[row] + q.needMb <= memoryMb[row]
-                            * Math.max(memoryShare * 0.9, deployment.pages() ? 0.9 - othersMemoryRatio : 0));
+                            * Math.max(memoryShare * 0.9, deployment.swapsMemory()
+                                    ? 0.9 - othersMemoryRatio : 0));
         }
 
         /** Whether the query may probe an ejected engine: it must leave time to be run elsewhere. */
@@ -987,7 +991,7 @@
         /** The query's value, reduced if its tenant exceeds its rate. */
         private double value(Query q) {
             return deployment.groups().get(q.group).value()
-                    * (tenantAccounts[q.tenant].overRate() ? deployment.overShareValue() : 1);
+                    * (tenantAccounts[q.tenant].overRate() ? deployment.overRateValue() : 1);
         }
 
         /** The query's runtime at the current load, in ticks. */
@@ -997,7 +1001,7 @@
 
         private void submit(Query q, int row) {
             dequeue(q);
-            if (q.submissions++ > 0 && deployment.ration() != null) {
+            if (q.submissions++ > 0 && deployment.resubmissionBudget() != null) {
                 resubmittedAt.add(now);
             }
             q.runningOn = row;
@@ -1026,11 +1030,12 @@
                 learnFrom(q, closed);
             }
             double usedWork = closed.work() > 0 ? closed.work() : q.hasEstimate ? q.work
-                    : closed.took() * q.threads;
+                    : closed.elapsed() * q.threads;
             double chargedWork = outcome.neverRan() ? 0
-                    : outcome == Outcome.FINISHED ? usedWork : Math.min(usedWork, closed.took() * q.threads);
+                    : outcome == Outcome.FINISHED ? usedWork
+                    : Math.min(usedWork, closed.elapsed() * q.threads);
             post(tenantAccounts[q.tenant], account -> account.charge(chargedWork - q.work, 0));
-            q.answered |= closed.over();
+            q.answered |= closed.queryOver();
             if (q.answered) {
                 remove(q);
             } else if (outcome != Outcome.NOT_SENT && outcome != Outcome.NOT_KEPT
@@ -1047,7 +1052,7 @@
 
         /** Updates the estimates of work, slowdown and concurrency limit from a finished query. */
         private void learnFrom(Query q, Event.Closed closed) {
-            double threadTicks = closed.took() * q.threads;
+            double threadTicks = closed.elapsed() * q.threads;
             double work = closed.work() > 0 ? closed.work() : q.hasEstimate ? q.work : threadTicks;
             if (!q.hasEstimate) {
                 updateTypicalWork(q.group, work);
@@ -1056,7 +1061,7 @@
             }
             finishedCount++;
             if (!ejected[q.lastSentTo]) {
-                observeSlowdown(threadTicks - closed.unseen() * q.threads, threadTicks, work,
+                observeSlowdown(threadTicks - closed.arrivalUncertainty() * q.threads, threadTicks, work,
                         Math.max(0.05, 1.0 / finishedCount));
             }
             boolean calibrating = finishedCount < 40
@@ -1100,7 +1105,7 @@
             if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestDeparture(q)) {
                 return false;
             }
-            Deployment.Ration ration = deployment.ration();
+            Deployment.Ration ration = deployment.resubmissionBudget();
             if (ration == null) {
                 return true;
             }
@@ -1111,7 +1116,8 @@
             while (!acceptedAt.isEmpty() && now - acceptedAt.peek() >= ration.window() - 1) {
                 acceptedAt.poll();
             }
-            return resubmittedAt.size() + 1 <= ration.free() + ration.perQuery() * acceptedAt.size();
+            return resubmittedAt.size() + 1 <= ration.freeResubmissions()
+                    + ration.perQuery() * acceptedAt.size();
         }
 
         /**
@@ -1130,16 +1136,16 @@
          */
         private void onProgress(Query q, Event.ShareDone event) {
             // Answers reveal an overload only after the fact; progress reports reveal it while it lasts.
-            double progress = event.share();
+            double progress = event.progress();
             long sinceLast = now - q.progressAt;
             if (!ejected[q.runningOn]) {
-                observeSlowdown((sinceLast - event.unseen()) * q.threads,
+                observeSlowdown((sinceLast - event.arrivalUncertainty()) * q.threads,
                         (sinceLast + q.progressUncertainty) * q.threads,
                         (progress - q.progress) * q.work, 0.05);
             }
             q.progress = progress;
             q.progressAt = now;
-            q.progressUncertainty = event.unseen();
+            q.progressUncertainty = event.arrivalUncertainty();
             q.overdueAt = Long.MAX_VALUE;
             if (q.answered || !mayRestart(q)) {
                 return;
@@ -1208,7 +1214,7 @@
             }
             OrderKeyQueue keyQueue = keyQueues.get(q.key);
             if (q.mayStillRun) {
-                keyQueue.blockedUntil = Math.max(keyQueue.blockedUntil, now + deployment.keyRest());
+                keyQueue.blockedUntil = Math.max(keyQueue.blockedUntil, now + deployment.orderKeyDelay());
             }
             keyQueue.queries.remove(q);
             enqueueHead(keyQueue);
--- a/src/main/java/reedspring/api/Deployment.java
+++ b/src/main/java/reedspring/api/Deployment.java
@@ -9,16 +9,16 @@
  * tenths of a millisecond. Upper limits are rounded down and minimum waiting times are rounded up.
  *
  * @param fronts the number of fronts that share the engines
- * @param ration the budget for resubmissions, null if they are not limited
- * @param keyRest the delay of an order key after a query that may still be running
- * @param overShareValue the factor on the value of queries of a tenant that exceeds its rate
+ * @param resubmissionBudget the budget for resubmissions, null if they are not limited
+ * @param orderKeyDelay the delay of an order key after a query that may still be running
+ * @param overRateValue the factor on the value of queries of a tenant that exceeds its rate
  * @param noteEvery the interval at which engines report the progress of a running query
- * @param pages whether an engine that exceeds its memory swaps
+ * @param swapsMemory whether an engine that exceeds its memory swaps
  */
 public record Deployment(int fronts, List<ResourceGroup> groups, List<Tenant> tenants,
                          Map<Id.Kind, Machine> machines,
-                         Allowed allowed, Discovery discovery, ColdStart coldStart, Ration ration,
-                         long keyRest, double overShareValue, long noteEvery, boolean pages) {
+                         Allowed allowed, Discovery discovery, ColdStart coldStart, Ration resubmissionBudget,
+                         long orderKeyDelay, double overRateValue, long noteEvery, boolean swapsMemory) {
 
     /** What a query of the group changes, and so whether it may run twice. */
     public enum Effect { READ_ONLY, TOKENED, MUTATING }
@@ -65,27 +65,27 @@
     /**
      * How the engine list is obtained.
      *
-     * @param mustAsk whether the front gets the list only if it subscribes
-     * @param askWithin the time within which it has to subscribe after its start or after an error
+     * @param mustSubscribe whether the front gets the list only if it subscribes
+     * @param subscribeWithin the time within which it has to subscribe after its start or after an error
      */
-    public record Discovery(boolean mustAsk, long askWithin) {
+    public record Discovery(boolean mustSubscribe, long subscribeWithin) {
     }
 
     /**
      * How an engine warms up after its start.
      *
-     * @param from the initial fraction of its speed
+     * @param initialSpeed the initial fraction of its speed
      * @param ramp the time until it reaches its full speed
-     * @param multiple the work that overloads it, as a multiple of what it can run during the window
+     * @param overloadMultiple the work that overloads it, as a multiple of what it can run during the window
      * @param window the period over which that work is measured
      */
-    public record ColdStart(double from, long ramp, double multiple, long window) {
+    public record ColdStart(double initialSpeed, long ramp, double overloadMultiple, long window) {
     }
 
     /**
      * The budget for resubmissions by one front during a window: a constant number and a fraction of the
      * queries accepted.
      */
-    public record Ration(int free, double perQuery, long window) {
+    public record Ration(int freeResubmissions, double perQuery, long window) {
     }
 }
--- a/src/main/java/reedspring/api/Event.java
+++ b/src/main/java/reedspring/api/Event.java
@@ -14,7 +14,7 @@
             long startedAt) {
     }
 
-    record EnginesListed(Reading reading, List<Listing> entries) implements Event {
+    record EnginesListed(Reading kind, List<Listing> entries) implements Event {
     }
 
     /** A call to discovery failed or its subscription was lost; the last list remains valid. */
@@ -26,11 +26,11 @@
      *
      * @param estimate the estimated work of all threads, 0 if unknown
      * @param needMb the estimated memory, 0 if unknown
-     * @param leavesAt until when the client waits
+     * @param clientDeadline until when the client waits
      * @param key null if it has no order key
      */
     record Taken(Id.Query query, Id.Group group, Id.Tenant tenant, Id.DataSet dataSet, long estimate,
-                 double needMb, long leavesAt, Id.OrderKey key) implements Event {
+                 double needMb, long clientDeadline, Id.OrderKey key) implements Event {
     }
 
     /** The client has gone, so no answer is due. */
@@ -42,22 +42,23 @@
     }
 
     /**
-     * A progress report: {@code share} is the completed fraction of the submission. It may have arrived
-     * earlier than it was read by up to {@code unseen}, because the front itself was stalled.
+     * A progress report: {@code progress} is the completed fraction of the submission. It may have arrived
+     * earlier than it was read by up to {@code arrivalUncertainty}, because the front itself was stalled.
      */
-    record ShareDone(Id.Query query, Id.Submission submission, double share, long unseen) implements Event {
+    record ShareDone(Id.Query query, Id.Submission submission, double progress,
+            long arrivalUncertainty) implements Event {
     }
 
     /**
      * A submission has ended.
      *
-     * @param over whether the query has its final answer or its client has gone
-     * @param took the time since it was sent
-     * @param unseen by how much {@code took} may be too long, because the front itself was stalled
+     * @param queryOver whether the query has its final answer or its client has gone
+     * @param elapsed the time since it was sent
+     * @param arrivalUncertainty by how much {@code elapsed} may be too long, because the front was stalled
      * @param work the work reported by the engine, 0 if it reports none
      */
-    record Closed(Id.Query query, Id.Submission submission, Outcome outcome, boolean over, long took,
-                  long unseen, long work) implements Event {
+    record Closed(Id.Query query, Id.Submission submission, Outcome outcome, boolean queryOver, long elapsed,
+                  long arrivalUncertainty, long work) implements Event {
     }
 
     /** An engine's load as reported with an answer: delayed, noisy and possibly wrong. */
@@ -65,7 +66,7 @@
     }
 
     /** The front shuts down: all queries, including those it still accepts, must be answered by then. */
-    record Leaving(long by) implements Event {
+    record Leaving(long deadline) implements Event {
     }
 
     /** A timer that was started with {@link Action.WakeMe} has expired. */
--- a/src/main/java/reedspring/api/Load.java
+++ b/src/main/java/reedspring/api/Load.java
@@ -7,10 +7,10 @@
  * @param cores the utilisation of its cores, from 0 to 1
  * @param memory the utilisation of its memory, from 0 to 1
  * @param disks the utilisation of its disks, from 0 to 1
- * @param inHand the number of running queries
+ * @param running the number of running queries
  * @param waiting the number of queued queries
  */
-public record Load(double cores, double memory, double disks, double inHand, double waiting) {
+public record Load(double cores, double memory, double disks, double running, double waiting) {
     public static final Load UNKNOWN = new Load(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
     /**
@@ -21,11 +21,11 @@
             return this;
         }
         return switch (name) {
-            case "util", "utilization" -> new Load(value, memory, disks, inHand, waiting);
-            case "x0" -> new Load(cores, value, disks, inHand, waiting);
-            case "x1" -> new Load(cores, memory, value, inHand, waiting);
+            case "util", "utilization" -> new Load(value, memory, disks, running, waiting);
+            case "x0" -> new Load(cores, value, disks, running, waiting);
+            case "x1" -> new Load(cores, memory, value, running, waiting);
             case "inflight", "outstanding" -> new Load(cores, memory, disks, value, waiting);
-            case "queue", "backlog" -> new Load(cores, memory, disks, inHand, value);
+            case "queue", "backlog" -> new Load(cores, memory, disks, running, value);
             default -> this;
         };
     }
--- a/src/main/java/reedspring/core/policy/QueryLifecycle.java
+++ b/src/main/java/reedspring/core/policy/QueryLifecycle.java
@@ -65,10 +65,10 @@
      *
      * @param deadline until when the client waits
      * @param lastStart the latest time at which it may start, as engines forget repeats afterwards
-     * @param clientThere whether the client is still connected and has not withdrawn the query
+     * @param clientPresent whether the client is still connected and has not withdrawn the query
      * @param engineReady whether the engine accepts work according to the latest information
      */
-    public record SendFacts(long now, long deadline, long lastStart, boolean clientThere,
+    public record SendFacts(long now, long deadline, long lastStart, boolean clientPresent,
             boolean engineReady) {
     }
 
@@ -111,7 +111,7 @@
         if (over) {
             return Verdict.QUERY_OVER;
         }
-        if (!facts.clientThere()) {
+        if (!facts.clientPresent()) {
             return Verdict.CLIENT_GONE;
         }
         if (facts.now() >= facts.deadline()) {
--- a/src/main/java/reedspring/spread/Spread.java
+++ b/src/main/java/reedspring/spread/Spread.java
@@ -151,7 +151,7 @@
     public void loadReported(int row, Load load, long now) {
         double utilisation = Math.max(valueOrZero(load.cores()),
                 Math.max(valueOrZero(load.memory()), valueOrZero(load.disks())));
-        double running = Double.isNaN(load.cores()) ? valueOrZero(load.inHand()) : 0;
+        double running = Double.isNaN(load.cores()) ? valueOrZero(load.running()) : 0;
         reportedLoad[row] = utilisation + (running + valueOrZero(load.waiting())) / Math.max(1, cores[row]);
         reportedAt[row] = now;
         meanReportedLoad = IntStream.range(0, rowCount).filter(k -> up[k] && !Double.isNaN(reportedLoad[k]))
@@ -262,8 +262,8 @@
         if (now - createdAt < rule.window()) {
             return false;
         }
-        double rate = COLD_START_RATIO * rule.multiple() * rule.from() * cores[row] / deployment.fronts()
-                / lightest;
+        double rate = COLD_START_RATIO * rule.overloadMultiple() * rule.initialSpeed() * cores[row]
+                / deployment.fronts() / lightest;
         double maxCredit = Math.max(rate * rule.window(), 1);
         double creditPeriod = 1 + rate * creditHoldTicks(rule);
         coldCredit[row] += rate * (now - coldCreditAt[row]);
@@ -282,7 +282,7 @@
      * grows during its ramp; if it grows fast enough, credit is kept for the whole ramp.
      */
     private static double creditHoldTicks(Deployment.ColdStart rule) {
-        double rampPerTick = (1 / rule.from() - 1) / rule.ramp();
+        double rampPerTick = (1 / rule.initialSpeed() - 1) / rule.ramp();
         double netPerTick = COLD_START_RATIO / rule.window() - rampPerTick;
         return netPerTick <= 0 ? rule.ramp() : Math.min(rule.ramp(), (1 - COLD_START_RATIO) / netPerTick);
     }
--- a/src/test/java/reedspring/House.java
+++ b/src/test/java/reedspring/ControlHarness.java
@@ -22,7 +22,7 @@
  * Stands around one Control: keeps the books a client, the engines and discovery would, and checks every
  * action.
  */
-final class House {
+final class ControlHarness {
     static final long SECOND = 10_000;
     private static final long GRACE = 200;
     private static final long USUAL_AT_LEAST = 5_000;
@@ -65,11 +65,11 @@
         boolean unclear;
     }
 
-    House(Deployment rules) {
+    ControlHarness(Deployment rules) {
         this(rules, 7);
     }
 
-    House(Deployment rules, long seed) {
+    ControlHarness(Deployment rules, long seed) {
         this.rules = rules;
         start(seed);
     }
@@ -201,11 +201,11 @@
                 if (q.out != null && now >= q.timeoutAt) {
                     end(q, Outcome.TIMED_OUT);
                 }
-                if (!q.answered && !q.left && now > Math.min(q.taken.leavesAt(), leavesBy) + GRACE) {
+                if (!q.answered && !q.left && now > Math.min(q.taken.clientDeadline(), leavesBy) + GRACE) {
                     throw new AssertionError("no final answer in time for " + q.taken);
                 }
             }
-            if (rules.discovery().mustAsk() && now - unaskedSince > rules.discovery().askWithin()) {
+            if (rules.discovery().mustSubscribe() && now - unaskedSince > rules.discovery().subscribeWithin()) {
                 throw new AssertionError("discovery was not asked for too long");
             }
         }
@@ -217,7 +217,7 @@
         }
         held.remove(q.taken.query());
         if (q.unclear && q.taken.key() != null && group(q).ordered()) {
-            restUntil.merge(q.taken.key(), now + rules.keyRest(), Math::max);
+            restUntil.merge(q.taken.key(), now + rules.orderKeyDelay(), Math::max);
         }
     }
 
@@ -275,11 +275,11 @@
             }
             require(now >= restUntil.getOrDefault(q.taken.key(), 0L), "the key rests", q);
         }
-        if (q.submissions > 0 && rules.ration() != null) {
+        if (q.submissions > 0 && rules.resubmissionBudget() != null) {
             further.add(now);
-            long since = now - rules.ration().window();
-            double most = rules.ration().free()
-                    + rules.ration().perQuery() * taken.stream().filter(t -> t > since).count();
+            long since = now - rules.resubmissionBudget().window();
+            double most = rules.resubmissionBudget().freeResubmissions()
+                    + rules.resubmissionBudget().perQuery() * taken.stream().filter(t -> t > since).count();
             require(further.stream().filter(t -> t > since).count() <= most, "beyond the ration", q);
         }
         if (to.startedAt() > 0 && now - to.startedAt() < rules.coldStart().ramp()) {
@@ -289,7 +289,7 @@
             sent.add(new long[] {now, q.taken.estimate() > 0 ? USUAL_AT_LEAST : 0});
             long since = now - rules.coldStart().window();
             Deployment.ColdStart cold = rules.coldStart();
-            double most = cold.multiple() * cold.from() * 8 * cold.window() / rules.fronts();
+            double most = cold.overloadMultiple() * cold.initialSpeed() * 8 * cold.window() / rules.fronts();
             // Where its part is under one query a front takes its turn with one.
             require(sent.stream().filter(s -> s[0] > since).mapToLong(s -> s[1]).sum()
                     <= Math.max(most, USUAL_AT_LEAST), "cold engine", q);
@@ -298,7 +298,7 @@
         q.out = submit.engine();
         q.sentAt = now;
         q.timeoutAt = Math.min(leavesBy, submit.timeout() > 0
-                ? Math.min(q.taken.leavesAt(), now + submit.timeout()) : q.taken.leavesAt());
+                ? Math.min(q.taken.clientDeadline(), now + submit.timeout()) : q.taken.clientDeadline());
     }
 
     private Deployment.ResourceGroup group(Held q) {
--- a/src/test/java/reedspring/ControlTest.java
+++ b/src/test/java/reedspring/ControlTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import reedspring.House.Held;
+import reedspring.ControlHarness.Held;
 import reedspring.api.Action;
 import reedspring.api.Deployment;
 import reedspring.api.Deployment.Effect;
@@ -24,17 +24,17 @@
 import reedspring.api.Id;
 
 class ControlTest {
-    private static final long SECOND = House.SECOND;
+    private static final long SECOND = ControlHarness.SECOND;
 
     /** All seven rules, checked by the house at every action, over random settings and random bad luck. */
     @Property(seed = "20261201", tries = 150, generation = net.jqwik.api.GenerationMode.RANDOMIZED)
     void rulesHoldWhateverHappens(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        House house = new House(House.draw(chance));
+        ControlHarness house = new ControlHarness(ControlHarness.draw(chance));
         int fleet = 1 + chance.nextInt(6);
         Listing[] all = new Listing[fleet];
         for (int k = 0; k < fleet; k++) {
-            all[k] = House.engine(k, Health.UP, chance.nextInt(4) == 0
+            all[k] = ControlHarness.engine(k, Health.UP, chance.nextInt(4) == 0
                     ? house.now - chance.nextInt(100_000) : 0);
         }
         house.list(Reading.REMEMBERED, all);
@@ -89,7 +89,7 @@
     /** 1.2 threads a core are the least, all told: what was grown beyond the share goes first. */
     @Example
     void underAnOverloadNothingIsLeftOfWhatWasGrown() {
-        House house = calm(2, plain());
+        ControlHarness house = calm(2, plain());
         for (int k = 0; k < 20; k++) {
             serve(house, house.take(0, 0, 2_000, 50_000, null), 2_000);
         }
@@ -107,7 +107,7 @@
     /** With 300 ms of patience and a target of 1.4 s, waiting till the end of either helps nobody. */
     @Example
     void whatCanNotEndWithinItsClientsPatienceIsDeferredAtOnce() {
-        House house = calm(1, plain());
+        ControlHarness house = calm(1, plain());
         for (int k = 0; k < 30; k++) {
             house.take(1, 0, 40_000, 150_000, null);
         }
@@ -122,7 +122,7 @@
     /** A new process is known to be slow before any run there has shown it. */
     @Example
     void whatAColdEngineWouldNotEndInTimeGoesToAWarmOne() {
-        House house = calm(1, House.deployment(1, true, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(1, ControlHarness.deployment(1, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         house.list(Reading.CHANGES, new Listing(new Id.Engine("cold"), new Id.Kind("m"), new Id.Zone("z0"),
                 new Id.Cell(0), Health.UP, house.now));
         house.pass(5 * SECOND / 2);
@@ -140,8 +140,8 @@
     /** A client of 30 s and a process of 3 s more: a retry is offered wherever it is safe, in time. */
     @Example
     void aFrontThatEndsAnswersWhatWaitsAndWhatHangs() {
-        House house = calm(1, House.deployment(false, false, null, House.SHORT,
-                House.group(10_000, 1, 1, Effect.MUTATING)));
+        ControlHarness house = calm(1, ControlHarness.deployment(false, false, null, ControlHarness.SHORT,
+                ControlHarness.group(10_000, 1, 1, Effect.MUTATING)));
         for (int k = 0; k < 60; k++) {
             house.take(k % 2, 0, 2_000, 30 * SECOND, null);
         }
@@ -154,26 +154,26 @@
         assertTrue(house.held.isEmpty(), house.held::toString);
     }
 
-    private static void disturb(House house, SplittableRandom chance, int fleet, long seed) {
+    private static void disturb(ControlHarness house, SplittableRandom chance, int fleet, long seed) {
         int k = chance.nextInt(fleet);
         switch (chance.nextInt(6)) {
-            case 0 -> house.list(Reading.CHANGES, House.engine(k, Health.DRAINING, 0));
-            case 1 -> house.list(Reading.CHANGES, House.engine(k, Health.GONE, 0));
-            case 2 -> house.list(Reading.COMPLETE, House.engine(k, Health.UP, house.now));
+            case 0 -> house.list(Reading.CHANGES, ControlHarness.engine(k, Health.DRAINING, 0));
+            case 1 -> house.list(Reading.CHANGES, ControlHarness.engine(k, Health.GONE, 0));
+            case 2 -> house.list(Reading.COMPLETE, ControlHarness.engine(k, Health.UP, house.now));
             case 3 -> house.on(new Event.ListUnavailable());
             case 4 -> {
                 if (chance.nextInt(10) == 0) {
                     house.start(seed + 1);
-                    house.list(Reading.REMEMBERED, House.engine(k, Health.UP, 0));
+                    house.list(Reading.REMEMBERED, ControlHarness.engine(k, Health.UP, 0));
                 }
             }
-            default -> house.list(Reading.CHANGES, House.engine(k, Health.UP,
+            default -> house.list(Reading.CHANGES, ControlHarness.engine(k, Health.UP,
                     house.now - chance.nextInt(50_000)));
         }
     }
 
-    private static House calm(int engines, Deployment rules) {
-        House house = new House(rules);
+    private static ControlHarness calm(int engines, Deployment rules) {
+        ControlHarness house = new ControlHarness(rules);
         Listing[] all = new Listing[engines];
         for (int k = 0; k < engines; k++) {
             all[k] = new Listing(new Id.Engine("e" + k), new Id.Kind("m"), new Id.Zone("z" + k % 2),
@@ -184,17 +184,17 @@
     }
 
     private static Deployment plain() {
-        return House.deployment(true, false, null, House.SHORT, House.LONG);
+        return ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG);
     }
 
-    private static void serve(House house, Held q, long took) {
+    private static void serve(ControlHarness house, Held q, long took) {
         house.pass(took);
         house.end(q, Outcome.FINISHED);
     }
 
     @Example
     void theBoundHoldsBackWhatTheFleetCanNotRun() {
-        House house = calm(2, plain());
+        ControlHarness house = calm(2, plain());
         for (int k = 0; k < 40; k++) {
             house.take(0, 0, 2000, 50_000, null);
         }
@@ -207,7 +207,7 @@
     /** Where engines page, a large query that finds no memory must not hold up smaller ones of its tenant. */
     @Example
     void aQueryThatNeedsLessMemoryPassesOneThatFindsNone() {
-        House house = calm(1, House.deployment(true, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(1, ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         house.take(1, 0, 500_000, 50 * SECOND, null);
         Held large = house.take(1, 0, 400_000, 50 * SECOND, null);
         Held small = house.take(1, 0, 10_000, 50 * SECOND, null);
@@ -220,7 +220,7 @@
     /** Others' memory on an engine is as much as this front's on average, not always their whole part. */
     @Example
     void anEngineTakesMoreThanOnePartOfItsMemoryWhileTheFleetHasRoom() {
-        House house = calm(2, House.deployment(true, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(2, ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         house.take(1, 0, 500_000, 50 * SECOND, null);
         house.take(1, 0, 500_000, 50 * SECOND, null);
         assertEquals(2, house.submits.stream().map(Action.Submit::engine).distinct().count());
@@ -230,7 +230,7 @@
 
     @Example
     void faultsOfAllEnginesAlikeShrinkNothing() {
-        House house = calm(2, plain());
+        ControlHarness house = calm(2, plain());
         for (int k = 0; k < 16; k++) {
             Held q = house.take(0, 0, 2000, 50_000, null);
             house.pass(100);
@@ -254,7 +254,7 @@
     void whatIsPastItsTargetRunsOnceNothingElseWaitsIfItHasAValueEvenSo() {
         Deployment.ResourceGroup late = new Deployment.ResourceGroup(15_000, 2, 5, 0.4, 4, Effect.READ_ONLY,
                 Deployment.Recognised.ALL, 4 * SECOND, false, null, null);
-        House house = calm(1, House.deployment(true, false, null, House.SHORT, late));
+        ControlHarness house = calm(1, ControlHarness.deployment(true, false, null, ControlHarness.SHORT, late));
         Held first = house.take(1, 0, 500_000, 500 * SECOND, null);
         Held waits = house.take(1, 0, 400_000, 500 * SECOND, null);
         house.pass(15 * SECOND);
@@ -273,7 +273,7 @@
     void nothingGrowsWithEnginesQueriesAndKeysThatHaveGone() {
         Deployment.ResourceGroup ordered = new Deployment.ResourceGroup(8_000, 0, 1, 0, 1, Effect.TOKENED,
                 Deployment.Recognised.CELL, 2 * SECOND, true, null, null);
-        House house = calm(4, House.deployment(false, false, null, House.SHORT, House.LONG, ordered));
+        ControlHarness house = calm(4, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG, ordered));
         for (int k = 4; k < 1_500; k++) {
             List<Held> out = new ArrayList<>();
             for (int g = 0; g < 3; g++) {
@@ -285,7 +285,7 @@
                         new Id.Cell(0), Health.UP, 0);
             }
             house.list(k % 2 == 0 ? Reading.COMPLETE : Reading.CHANGES, list);
-            house.list(Reading.CHANGES, House.engine(k - 4, Health.GONE, 0));
+            house.list(Reading.CHANGES, ControlHarness.engine(k - 4, Health.GONE, 0));
             house.pass(200);
             Outcome how = Outcome.values()[k % Outcome.values().length];
             out.stream().filter(q -> q.out != null).forEach(q -> house.end(q, how));
@@ -301,14 +301,14 @@
     @Example
     void ofAnEngineThatAListNamesTwiceTheLastRowCountsOnce() {
         for (Reading reading : List.of(Reading.CHANGES, Reading.COMPLETE)) {
-            House house = calm(2, plain());
-            Listing ready = House.engine(9, Health.UP, 0);
-            Listing drains = House.engine(9, Health.DRAINING, 0);
+            ControlHarness house = calm(2, plain());
+            Listing ready = ControlHarness.engine(9, Health.UP, 0);
+            Listing drains = ControlHarness.engine(9, Health.DRAINING, 0);
             int held = house.control.heldEntries();
-            house.list(reading, House.engine(8, Health.UP, 0), drains, House.engine(7, Health.UP, 0), ready);
+            house.list(reading, ControlHarness.engine(8, Health.UP, 0), drains, ControlHarness.engine(7, Health.UP, 0), ready);
             assertEquals(held + 3, house.control.heldEntries());
             assertTrue(submitsTo(house, "e9") > 0, "ready by its last row");
-            house.list(reading, House.engine(8, Health.UP, 0), ready, House.engine(7, Health.UP, 0), drains);
+            house.list(reading, ControlHarness.engine(8, Health.UP, 0), ready, ControlHarness.engine(7, Health.UP, 0), drains);
             assertEquals(held + 3, house.control.heldEntries());
             assertEquals(0, submitsTo(house, "e9"), "drains by its last row");
         }
@@ -317,13 +317,13 @@
     /** Its row may be free by then, and the new engine would take it with all that the list says of it. */
     @Example
     void anEngineThatComesBackBesideANewOneIsNotLostToIt() {
-        House house = calm(3, plain());
-        house.list(Reading.CHANGES, House.engine(1, Health.GONE, 0));
-        house.list(Reading.CHANGES, House.engine(1, Health.UP, 0), House.engine(5, Health.UP, 0));
+        ControlHarness house = calm(3, plain());
+        house.list(Reading.CHANGES, ControlHarness.engine(1, Health.GONE, 0));
+        house.list(Reading.CHANGES, ControlHarness.engine(1, Health.UP, 0), ControlHarness.engine(5, Health.UP, 0));
         assertTrue(submitsTo(house, "e1") > 0 && submitsTo(house, "e5") > 0, house.submits::toString);
     }
 
-    private static long submitsTo(House house, String name) {
+    private static long submitsTo(ControlHarness house, String name) {
         house.submits.clear();
         for (int k = 0; k < 60; k++) {
             serve(house, house.take(0, 0, 2_000, 50_000, null), 200);
@@ -333,7 +333,7 @@
 
     @Example
     void aLightTenantGoesFirstAndEachTenantKeepsItsOrder() {
-        House house = calm(1, plain());
+        ControlHarness house = calm(1, plain());
         List<Held> heavy = new ArrayList<>();
         for (int k = 0; k < 12; k++) {
             heavy.add(house.take(0, 0, 2000, 50_000, null));
@@ -353,7 +353,7 @@
 
     @Example
     void anEmptyListHoldsQueriesAndThenDefersThem() {
-        House house = new House(plain());
+        ControlHarness house = new ControlHarness(plain());
         Held q = house.take(0, -1, 0, 50_000, null);
         house.list(Reading.COMPLETE);
         house.pass(5 * SECOND);
@@ -364,15 +364,15 @@
     /** zwrotka-waw, i1ee9d1: a client's repeat came with less time left than one pulse. */
     @Example
     void aQueryThatArrivesWithNoTimeLeftIsAnsweredAtOnce() {
-        House house = new House(plain());
+        ControlHarness house = new ControlHarness(plain());
         assertTrue(house.take(0, 0, 1000, 3, null).answered);
     }
 
     /** binh-duong-shared, overload: the place in the ration had lapsed when the query left the queue. */
     @Example
     void theRationIsAskedWhenTheFurtherSubmissionLeaves() {
-        House house = calm(1, House.deployment(true, false, new Deployment.Ration(1, 0, 10 * SECOND),
-                House.SHORT));
+        ControlHarness house = calm(1, ControlHarness.deployment(true, false, new Deployment.Ration(1, 0, 10 * SECOND),
+                ControlHarness.SHORT));
         Held one = house.take(0, 0, 1000, 50_000, null);
         Held two = house.take(0, 0, 1000, 50_000, null);
         house.end(one, Outcome.ERROR);
@@ -383,7 +383,7 @@
 
     @Example
     void anEngineThatFailsAllIsBarredAndFindsItsWayBack() {
-        House house = calm(4, plain());
+        ControlHarness house = calm(4, plain());
         Set<Id.Engine> late = new HashSet<>();
         for (int k = 0; k < 600; k++) {
             Held q = house.take(0, 0, 500, 50_000, null);
@@ -406,7 +406,7 @@
     /** Whatever is suspected, half of the fleet at least goes on taking queries. */
     @Example
     void barsNeverShutMoreThanHalfOfTheFleet() {
-        House house = calm(4, plain());
+        ControlHarness house = calm(4, plain());
         for (int k = 0; k < 400; k++) {
             Held q = house.take(0, 0, 500, 50_000, null);
             house.pass(200);
@@ -422,9 +422,9 @@
 
     @Example
     void aBadPlanIsStartedAfreshAndAnotherGroupIsNot() {
-        Deployment rules = House.deployment(true, false, null, House.SHORT, House.LONG,
-                House.group(10_000, 5, 1, Effect.MUTATING));
-        House house = calm(2, rules);
+        Deployment rules = ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG,
+                ControlHarness.group(10_000, 5, 1, Effect.MUTATING));
+        ControlHarness house = calm(2, rules);
         Held bad = house.take(1, 0, 20_000, 150_000, null);
         Held once = house.take(2, 0, 20_000, 150_000, null);
         house.pass(2 * SECOND);
@@ -443,7 +443,7 @@
     }
 
     private static int sentAfterGivingUp(boolean cancelStops) {
-        House house = calm(2, House.deployment(cancelStops, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(2, ControlHarness.deployment(cancelStops, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         for (int k = 0; k < 8; k++) {
             house.take(0, 0, 8000, 10_000, null);
         }
@@ -458,7 +458,7 @@
     /** zwrotka-waw, i5a06ed: long queries held nearly all threads, and short ones lost their targets. */
     @Example
     void oneGroupLeavesOthersAPartOfTheBound() {
-        House house = calm(4, plain());
+        ControlHarness house = calm(4, plain());
         List<Held> all = new ArrayList<>();
         for (int k = 0; k < 20; k++) {
             all.add(house.take(1, 0, 20_000, 150_000, null));
@@ -472,7 +472,7 @@
     /** binh-duong-shared, i6938bd: answers lost on the way, on engines that answer the rest as usual. */
     @Example
     void aLostAnswerIsAskedForAgainElsewhere() {
-        House house = calm(3, plain());
+        ControlHarness house = calm(3, plain());
         Held lost = house.take(0, 0, 2000, 50_000, null);
         Id.Engine first = lost.out;
         boolean cancelled = false;
@@ -492,15 +492,15 @@
     /** enfidha-main, ibce5aa: no long query fitted a cold engine by its own estimate. */
     @Example
     void aColdEngineTakesALongQueryThatIsUsualForItsGroup() {
-        House house = new House(plain());
-        house.list(Reading.COMPLETE, House.engine(0, Health.UP, house.now));
+        ControlHarness house = new ControlHarness(plain());
+        house.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, house.now));
         house.pass(3 * SECOND);
         Held q = house.take(1, 0, 20_000, 150_000, null);
         house.pass(SECOND / 10);
         assertEquals(1, q.submissions);
     }
 
-    private static Listing cold(House house) {
+    private static Listing cold(ControlHarness house) {
         return new Listing(new Id.Engine("cold"), new Id.Kind("m"), new Id.Zone("z0"), new Id.Cell(0),
                 Health.UP, house.now);
     }
@@ -508,7 +508,7 @@
     /** join+mass: the gate was shut by what was out on warm engines, while new ones stood idle. */
     @Example
     void aColdEngineTakesItsRationWhileTheGateToWarmOnesIsShut() {
-        House house = calm(1, plain());
+        ControlHarness house = calm(1, plain());
         house.pass(5 * SECOND / 2);
         Held last = null;
         for (int k = 0; k < 60; k++) {
@@ -527,7 +527,7 @@
     /** What a ration keeps off cold engines must not be put on the warm ones beside them. */
     @Example
     void coldEnginesAddNothingToTheBoundOnWarmOnes() {
-        House house = calm(1, plain());
+        ControlHarness house = calm(1, plain());
         house.list(Reading.CHANGES, cold(house));
         for (int k = 0; k < 30; k++) {
             house.take(0, 0, 2_000, 50_000, null);
@@ -539,9 +539,9 @@
     /** A front that has just started can't know what it sent to a cold engine before. */
     @Example
     void aFrontJustStartedSendsNothingToAColdEngineForAWindow() {
-        House house = new House(House.deployment(true, false, null,
-                House.group(40_000, 1, 1, Effect.READ_ONLY)));
-        house.list(Reading.COMPLETE, House.engine(0, Health.UP, house.now));
+        ControlHarness house = new ControlHarness(ControlHarness.deployment(true, false, null,
+                ControlHarness.group(40_000, 1, 1, Effect.READ_ONLY)));
+        house.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, house.now));
         Held q = house.take(0, 0, 2000, 150_000, null);
         house.pass(2 * SECOND - 500);
         assertEquals(0, q.submissions);
@@ -552,7 +552,7 @@
     /** An engine slow against its peers keeps less, and all slow together changes nothing between them. */
     @Example
     void aSlowEngineGetsLessThanItsPeers() {
-        House house = calm(3, plain());
+        ControlHarness house = calm(3, plain());
         List<Held> slow = new ArrayList<>();
         for (int k = 0; k < 300; k++) {
             Held q = house.take(0, 0, 1000, 50_000, null);
@@ -578,7 +578,7 @@
     void aTokenedQueryIsNotSentAgainOnceItsRepeatsAreForgotten() {
         Deployment.ResourceGroup tokened = new Deployment.ResourceGroup(80_000, 2, 1, 0, 1, Effect.TOKENED,
                 Deployment.Recognised.ALL, 2 * SECOND, false, null, null);
-        House house = calm(2, House.deployment(true, false, null, tokened));
+        ControlHarness house = calm(2, ControlHarness.deployment(true, false, null, tokened));
         Held early = house.take(0, 0, 2000, 150_000, null);
         Held late = house.take(0, 0, 2000, 150_000, null);
         house.pass(SECOND);
@@ -593,16 +593,16 @@
     /** binh-duong-later, i59e677: cold engines stood unused for all of their ramp at 218 fronts. */
     @Example
     void hundredsOfFrontsBringAColdEngineBackAndNeverPushItOver() {
-        Deployment rules = House.deployment(300, true, false, null, House.SHORT, House.LONG);
-        List<House> fronts = new ArrayList<>();
+        Deployment rules = ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG);
+        List<ControlHarness> fronts = new ArrayList<>();
         for (int k = 0; k < 300; k++) {
-            House house = new House(rules, k);
+            ControlHarness house = new ControlHarness(rules, k);
             house.pass(3 * SECOND);
-            house.list(Reading.COMPLETE, House.engine(0, Health.UP, house.now));
+            house.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, house.now));
             fronts.add(house);
         }
         long[] inWindow = new long[40];
-        for (House house : fronts) {
+        for (ControlHarness house : fronts) {
             long start = house.now;
             for (int step = 0; step < 40; step++) {
                 int before = house.submits.size();
@@ -627,7 +627,7 @@
     /** enfidha-main-later, i702ee9: a share under one long query was never passed, on calm engines. */
     @Example
     void whatStoodUnusedOfASmallShareIsUsedLaterAndNoMore() {
-        House house = calm(4, House.deployment(300, true, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(4, ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         house.pass(10 * SECOND);
         List<Held> early = new ArrayList<>();
         for (int k = 0; k < 3; k++) {
@@ -651,7 +651,7 @@
     }
 
     private static int sentAfter(long longer, long unseen) {
-        House house = calm(2, House.deployment(false, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(2, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         for (int k = 0; k < 60; k++) {
             Held q = house.take(0, 1, 1000, 50_000, null);
             house.pass(1_000);
@@ -676,7 +676,7 @@
     }
 
     private static int sentBesideSlowRuns(double pace) {
-        House house = calm(2, House.deployment(false, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(2, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         for (int k = 0; k < 3; k++) {
             house.take(1, 0, 60_000, 150_000, null);
         }
@@ -697,7 +697,7 @@
     @Example
     void aListThatShrinksAtOnceIsFollowed() {
         for (int fronts : new int[] {1, 300}) {
-            House house = calm(40, House.deployment(fronts, true, false, null, House.SHORT, House.LONG));
+            ControlHarness house = calm(40, ControlHarness.deployment(fronts, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
             house.list(Reading.COMPLETE, new Listing(new Id.Engine("e3"), new Id.Kind("m"),
                     new Id.Zone("z1"), new Id.Cell(0), Health.UP, 0));
             Held q = house.take(1, 0, 20_000, 150_000, null);
@@ -712,7 +712,7 @@
     /** zwrotka-waw-later, i478719: lost answers held the bound where no cancel frees them. */
     @Example
     void runsWhoseNotesStoppedNoLongerHoldTheGate() {
-        House house = calm(2, House.deployment(false, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(2, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         for (int k = 0; k < 300; k++) {
             Held q = house.take(0, 0, 500, 150_000, null);
             house.pass(500);
@@ -726,7 +726,7 @@
     /** binh-duong-later, icfc51e: with many engines dead and few queries nearly each query was a trial. */
     @Example
     void fewQueriesAreNotAllGivenToTrials() {
-        House house = calm(8, House.deployment(300, true, false, null, House.SHORT, House.LONG));
+        ControlHarness house = calm(8, ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         int failed = 0;
         for (int k = 0; k < 200; k++) {
             house.pass(4500);
--- a/src/test/java/reedspring/DecisionsTest.java
+++ b/src/test/java/reedspring/DecisionsTest.java
@@ -310,7 +310,7 @@
 
         private void end(Open q) {
             Outcome outcome = q.cancelled ? Outcome.CANCELLED
-                    : now >= q.taken.leavesAt() ? Outcome.TIMED_OUT
+                    : now >= q.taken.clientDeadline() ? Outcome.TIMED_OUT
                     : chance.nextDouble() > trouble ? Outcome.FINISHED
                     : Outcome.values()[chance.nextInt(Outcome.values().length)];
             q.out = null;
@@ -344,7 +344,7 @@
                 double takes = Math.max(500, q.taken.estimate()) * slow.getOrDefault(q.out, 1.0)
                         * (0.8 + 0.4 * chance.nextDouble())
                         / rules.groups().get(q.taken.group().index()).threads();
-                q.endsAt = Math.min(q.taken.leavesAt(), now + 1 + (chance.nextInt(40) == 0
+                q.endsAt = Math.min(q.taken.clientDeadline(), now + 1 + (chance.nextInt(40) == 0
                         ? 60 * SECOND : (long) takes));
                 log.append(" submit ").append(submit.query().value()).append(' ')
                         .append(submit.engine().address()).append(' ').append(submit.timeout()).append(' ')
@@ -398,7 +398,7 @@
             Deployment.Ration ration = chance.nextInt(3) == 0 ? null
                     : new Deployment.Ration(chance.nextInt(4), 0.1, (1 + chance.nextInt(8)) * SECOND);
             // Whole figures: their sum is the same in whatever order a map has them.
-            return new Deployment(fronts, List.of(House.SHORT, House.LONG, third, fourth),
+            return new Deployment(fronts, List.of(ControlHarness.SHORT, ControlHarness.LONG, third, fourth),
                     List.of(new Deployment.Tenant(0.7, 70), new Deployment.Tenant(0.3, 30)),
                     Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000),
                             new Id.Kind("s"), new Deployment.Machine(4, 8_000),
--- a/src/test/java/reedspring/HouseTest.java
+++ b/src/test/java/reedspring/DependencyRulesTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.Example;
 
 /** What may use what: decisions and state know no I/O, and nothing that stands round them. */
-class HouseTest {
+class DependencyRulesTest {
     private static final String[] CORE = {"reedspring.api..", "reedspring.core..", "reedspring.spool",
         "reedspring.spread"};
     private final JavaClasses classes = new ClassFileImporter()
--- a/src/test/java/reedspring/core/policy/QueryLifecycleTest.java
+++ b/src/test/java/reedspring/core/policy/QueryLifecycleTest.java
@@ -95,7 +95,7 @@
                     SendFacts facts = new SendFacts(100, 95 + chance.nextInt(10), 95 + chance.nextInt(10),
                             chance.nextInt(4) > 0, chance.nextInt(4) > 0);
                     if (out && !sent && query.send(facts).allowed()) {
-                        assertTrue(facts.clientThere() && facts.engineReady()
+                        assertTrue(facts.clientPresent() && facts.engineReady()
                                 && facts.now() < facts.deadline()
                                 && facts.now() <= facts.lastStart() && answers == 0, facts::toString);
                         sent = true;
