--- a/src/test/java/reedspring/ControlHarness.java
+++ b/src/test/java/reedspring/ControlHarness.java
@@ -19,75 +19,77 @@
 import reedspring.api.Id;
 
 /**
- * Stands around one Control: keeps the books a client, the engines and discovery would, and checks every
- * action.
+ * Runs one Control in virtual time: plays its clients, engines and discovery, and checks the rules at every
+ * action. Times are in ticks: whole tenths of a millisecond.
  */
 final class ControlHarness {
-    static final long SECOND = 10_000;
-    private static final long GRACE = 200;
-    private static final long USUAL_AT_LEAST = 5_000;
+    static final long TICKS_PER_SECOND = 10_000;
+    private static final long ANSWER_GRACE_TICKS = 200;
+    private static final long MIN_TYPICAL_WORK = 5_000;
     static final Deployment.ResourceGroup SHORT = group(10_000, 1, 1, Effect.READ_ONLY);
     static final Deployment.ResourceGroup LONG = group(15_000, 5, 4, Effect.READ_ONLY);
-    private static final Set<Outcome> UNCLEAR = Set.of(Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED);
+    private static final Set<Outcome> MAY_STILL_RUN = Set.of(Outcome.TIMED_OUT, Outcome.BROKEN,
+            Outcome.CANCELLED);
 
-    final Deployment rules;
-    final Map<Id.Query, Held> held = new LinkedHashMap<>();
-    final List<Action> last = new ArrayList<>();
+    final Deployment configuration;
+    final Map<Id.Query, OpenQuery> openQueries = new LinkedHashMap<>();
+    final List<Action> lastActions = new ArrayList<>();
     final List<Action.Submit> submits = new ArrayList<>();
-    final Set<Id.Query> cancels = new HashSet<>();
+    final Set<Id.Query> cancelled = new HashSet<>();
     final Map<Id.Engine, Listing> listed = new HashMap<>();
-    private final Map<Id.Engine, Long> toldOff = new HashMap<>();
-    private final Map<Id.OrderKey, Long> restUntil = new HashMap<>();
-    private final List<Long> taken = new ArrayList<>();
-    private final List<Long> further = new ArrayList<>();
-    private final Map<Id.Engine, List<long[]>> sentCold = new HashMap<>();
+    private final Map<Id.Engine, Long> notUpSince = new HashMap<>();
+    private final Map<Id.OrderKey, Long> keyBlockedUntil = new HashMap<>();
+    private final List<Long> acceptedAt = new ArrayList<>();
+    private final List<Long> resubmittedAt = new ArrayList<>();
+    private final Map<Id.Engine, List<long[]>> sentToCold = new HashMap<>();
     private final List<long[]> timers = new ArrayList<>();
     Control control;
     long now = 1_000_000;
-    /** How much earlier the next ends may have come than they were seen. */
-    long unseen;
-    /** By when all has to be answered, as the front ends. */
-    private long leavesBy = Long.MAX_VALUE;
-    private long ids;
-    private long unaskedSince = Long.MAX_VALUE;
+    /** How much earlier the next submissions to end may have ended than the front noticed. */
+    long arrivalUncertainty;
+    /** By when all queries have to be answered, once the front shuts down. */
+    private long shutdownDeadline = Long.MAX_VALUE;
+    private long lastId;
+    private long unsubscribedSince = Long.MAX_VALUE;
 
-    /** A query in the books. */
-    static final class Held {
-        Event.Taken taken;
-        Id.Engine out;
+    /** A query that has no final answer yet or has a submission outstanding. */
+    static final class OpenQuery {
+        Event.Taken event;
+        Id.Engine runningOn;
         long sentAt;
         long timeoutAt;
         int submissions;
         boolean answered;
-        boolean left;
-        Id.Engine ran;
-        long ranSince;
-        boolean unclear;
+        boolean clientGone;
+        Id.Engine firstRanOn;
+        long firstRanSince;
+        boolean mayStillRun;
     }
 
-    ControlHarness(Deployment rules) {
-        this(rules, 7);
+    ControlHarness(Deployment configuration) {
+        this(configuration, 7);
     }
 
-    ControlHarness(Deployment rules, long seed) {
-        this.rules = rules;
+    ControlHarness(Deployment configuration, long seed) {
+        this.configuration = configuration;
         start(seed);
     }
 
     void start(long seed) {
-        held.clear();
-        leavesBy = Long.MAX_VALUE;
+        openQueries.clear();
+        shutdownDeadline = Long.MAX_VALUE;
         timers.clear();
-        restUntil.clear();
-        taken.clear();
-        further.clear();
-        last.clear();
-        unaskedSince = now;
-        control = new Control(seed, rules, now, this::check);
+        keyBlockedUntil.clear();
+        acceptedAt.clear();
+        resubmittedAt.clear();
+        lastActions.clear();
+        unsubscribedSince = now;
+        control = new Control(seed, configuration, now, this::check);
     }
 
     static Deployment.ResourceGroup group(long target, double value, int threads, Effect effect) {
-        return new Deployment.ResourceGroup(target, 2, value, 0, threads, effect, Recognised.ALL, 4 * SECOND,
+        return new Deployment.ResourceGroup(target, 2, value, 0, threads, effect, Recognised.ALL,
+                4 * TICKS_PER_SECOND,
                 false, null, null);
     }
 
@@ -101,9 +103,10 @@
         return new Deployment(fronts, List.of(groups),
                 List.of(new Deployment.Tenant(0.7, 70), new Deployment.Tenant(0.3, 30)),
                 Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000)),
-                new Deployment.Allowed(cancel, true, true, 4, SECOND / 2),
-                new Deployment.Discovery(mustAsk, 10 * SECOND),
-                new Deployment.ColdStart(0.3, 10 * SECOND, 3, 2 * SECOND), ration, SECOND, 0.1, 2 * SECOND,
+                new Deployment.Allowed(cancel, true, true, 4, TICKS_PER_SECOND / 2),
+                new Deployment.Discovery(mustAsk, 10 * TICKS_PER_SECOND),
+                new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), ration,
+                TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND,
                 true);
     }
 
@@ -115,78 +118,78 @@
     void list(Event.Reading reading, Listing... entries) {
         if (reading != Event.Reading.CHANGES) {
             for (Id.Engine id : listed.keySet()) {
-                toldOff.putIfAbsent(id, now);
+                notUpSince.putIfAbsent(id, now);
             }
         }
         for (Listing entry : entries) {
             listed.put(entry.engine(), entry);
             if (entry.health() == Health.UP) {
-                toldOff.remove(entry.engine());
+                notUpSince.remove(entry.engine());
             } else {
-                toldOff.putIfAbsent(entry.engine(), now);
+                notUpSince.putIfAbsent(entry.engine(), now);
             }
         }
         on(new Event.EnginesListed(reading, List.of(entries)));
     }
 
-    Held take(int group, int tenant, long estimate, long stays, Id.OrderKey key) {
-        Held q = new Held();
-        q.taken = new Event.Taken(new Id.Query(++ids), new Id.Group(group),
-                tenant < 0 ? Id.Tenant.NOBODY : new Id.Tenant(tenant), new Id.DataSet(ids % 7), estimate,
-                estimate / 100.0, Math.min(now + stays, leavesBy), key);
-        held.put(q.taken.query(), q);
-        taken.add(now);
-        on(q.taken);
+    OpenQuery accept(int group, int tenant, long estimate, long patience, Id.OrderKey key) {
+        OpenQuery q = new OpenQuery();
+        q.event = new Event.Taken(new Id.Query(++lastId), new Id.Group(group),
+                tenant < 0 ? Id.Tenant.NOBODY : new Id.Tenant(tenant), new Id.DataSet(lastId % 7), estimate,
+                estimate / 100.0, Math.min(now + patience, shutdownDeadline), key);
+        openQueries.put(q.event.query(), q);
+        acceptedAt.add(now);
+        on(q.event);
         return q;
     }
 
-    /** The front itself ends: submissions that are out end with it, as its sockets' side sees to. */
-    void leaving(long by) {
-        leavesBy = by;
-        held.values().forEach(q -> q.timeoutAt = Math.min(q.timeoutAt, by));
-        on(new Event.Leaving(by));
+    /** The front shuts down; outstanding submissions end with it. */
+    void shutDown(long deadline) {
+        shutdownDeadline = deadline;
+        openQueries.values().forEach(q -> q.timeoutAt = Math.min(q.timeoutAt, deadline));
+        on(new Event.Leaving(deadline));
     }
 
-    void leave(Held q) {
-        q.left = true;
-        on(new Event.Left(q.taken.query()));
-        forget(q);
+    void disconnect(OpenQuery q) {
+        q.clientGone = true;
+        on(new Event.Left(q.event.query()));
+        removeIfClosed(q);
     }
 
-    void end(Held q, Outcome outcome) {
-        Id.Engine engine = q.out;
-        q.out = null;
-        if (!outcome.neverRan() && q.ran == null) {
-            q.ran = engine;
-            q.ranSince = q.sentAt;
+    void end(OpenQuery q, Outcome outcome) {
+        Id.Engine engine = q.runningOn;
+        q.runningOn = null;
+        if (!outcome.neverRan() && q.firstRanOn == null) {
+            q.firstRanOn = engine;
+            q.firstRanSince = q.sentAt;
         }
-        q.unclear |= UNCLEAR.contains(outcome);
-        boolean over = q.answered || q.left || outcome == Outcome.FINISHED;
+        q.mayStillRun |= MAY_STILL_RUN.contains(outcome);
+        boolean queryOver = q.answered || q.clientGone || outcome == Outcome.FINISHED;
         q.answered |= outcome == Outcome.FINISHED;
-        if (over) {
-            forget(q);
+        if (queryOver) {
+            removeIfClosed(q);
         }
-        on(new Event.Closed(q.taken.query(), new Id.Submission(q.submissions - 1), outcome, over,
-                now - q.sentAt, Math.min(unseen, now - q.sentAt), 0));
+        on(new Event.Closed(q.event.query(), new Id.Submission(q.submissions - 1), outcome, queryOver,
+                now - q.sentAt, Math.min(arrivalUncertainty, now - q.sentAt), 0));
     }
 
     void on(Event event) {
-        last.clear();
+        lastActions.clear();
         if (event instanceof Event.ListUnavailable) {
-            unaskedSince = Math.min(unaskedSince, now);
+            unsubscribedSince = Math.min(unsubscribedSince, now);
         }
         control.on(now, event, this::check);
     }
 
-    /** Lets time pass, with timers, time-outs and the client's own end on the way. */
-    void pass(long span) {
-        for (long end = now + span; now < end; ) {
+    /** Advances the time, with the timers, timeouts and client deadlines on the way. */
+    void advance(long ticks) {
+        for (long end = now + ticks; now < end; ) {
             long next = end;
             for (long[] timer : timers) {
                 next = Math.min(next, timer[0]);
             }
-            for (Held q : held.values()) {
-                if (q.out != null) {
+            for (OpenQuery q : openQueries.values()) {
+                if (q.runningOn != null) {
                     next = Math.min(next, q.timeoutAt);
                 }
             }
@@ -197,142 +200,152 @@
                     on(new Event.Woken(new Id.Timer(timer[1])));
                 }
             }
-            for (Held q : List.copyOf(held.values())) {
-                if (q.out != null && now >= q.timeoutAt) {
+            for (OpenQuery q : List.copyOf(openQueries.values())) {
+                if (q.runningOn != null && now >= q.timeoutAt) {
                     end(q, Outcome.TIMED_OUT);
                 }
-                if (!q.answered && !q.left && now > Math.min(q.taken.clientDeadline(), leavesBy) + GRACE) {
-                    throw new AssertionError("no final answer in time for " + q.taken);
+                if (!q.answered && !q.clientGone
+                        && now > Math.min(q.event.clientDeadline(), shutdownDeadline) + ANSWER_GRACE_TICKS) {
+                    throw new AssertionError("no final answer in time for " + q.event);
                 }
             }
-            if (rules.discovery().mustSubscribe() && now - unaskedSince > rules.discovery().subscribeWithin()) {
-                throw new AssertionError("discovery was not asked for too long");
+            if (configuration.discovery().mustSubscribe()
+                    && now - unsubscribedSince > configuration.discovery().subscribeWithin()) {
+                throw new AssertionError("the front was not subscribed to discovery for too long");
             }
         }
     }
 
-    private void forget(Held q) {
-        if (q.out != null || !q.answered && !q.left) {
+    private void removeIfClosed(OpenQuery q) {
+        if (q.runningOn != null || !q.answered && !q.clientGone) {
             return;
         }
-        held.remove(q.taken.query());
-        if (q.unclear && q.taken.key() != null && group(q).ordered()) {
-            restUntil.merge(q.taken.key(), now + rules.orderKeyDelay(), Math::max);
+        openQueries.remove(q.event.query());
+        if (q.mayStillRun && q.event.key() != null && group(q).ordered()) {
+            keyBlockedUntil.merge(q.event.key(), now + configuration.orderKeyDelay(), Math::max);
         }
     }
 
     private void check(Action action) {
-        last.add(action);
+        lastActions.add(action);
         if (action instanceof Action.WakeMe wake) {
             timers.add(new long[] {now + wake.span(), wake.timer().value()});
         } else if (action instanceof Action.FollowEngines) {
-            unaskedSince = Long.MAX_VALUE;
+            unsubscribedSince = Long.MAX_VALUE;
         } else if (action instanceof Action.Submit submit) {
             submits.add(submit);
             check(submit);
         } else if (action instanceof Action.Defer defer) {
-            Held q = unanswered(defer.query());
+            OpenQuery q = unanswered(defer.query());
             Deployment.ResourceGroup group = group(q);
-            require(group.effect() == Effect.READ_ONLY || q.ran == null && q.out == null
+            require(group.effect() == Effect.READ_ONLY || q.firstRanOn == null && q.runningOn == null
                     || group.effect() == Effect.TOKENED && group.recognised() == Recognised.ALL,
                     "unsafe deferral", q);
             q.answered = true;
-            forget(q);
+            removeIfClosed(q);
         } else if (action instanceof Action.Kill kill) {
-            Held q = unanswered(kill.query());
+            OpenQuery q = unanswered(kill.query());
             q.answered = true;
-            forget(q);
+            removeIfClosed(q);
         } else if (action instanceof Action.Cancel cancel) {
-            cancels.add(cancel.query());
-            require(rules.allowed().cancel(), "cancel where it is not allowed", null);
+            cancelled.add(cancel.query());
+            require(configuration.allowed().cancel(), "cancel although it is not supported", null);
         }
     }
 
     private void check(Action.Submit submit) {
-        Held q = unanswered(submit.query());
+        OpenQuery q = unanswered(submit.query());
         Deployment.ResourceGroup group = group(q);
-        Listing to = listed.get(submit.engine());
-        require(q.out == null, "two submissions at once", q);
-        require(to != null, "engine never listed", q);
-        require(toldOff.getOrDefault(submit.engine(), now) >= now, "drained engine",
+        Listing listing = listed.get(submit.engine());
+        require(q.runningOn == null, "two submissions at once", q);
+        require(listing != null, "engine never listed", q);
+        require(notUpSince.getOrDefault(submit.engine(), now) >= now, "draining engine",
                 q);
-        require(group.zones() == null || group.zones().contains(to.zone()), "placement by zone", q);
-        require(group.kinds() == null || group.kinds().contains(to.kind()), "placement by kind", q);
-        if (q.ran != null && group.effect() != Effect.READ_ONLY) {
-            Listing ran = listed.get(q.ran);
-            require(group.effect() == Effect.TOKENED, "a mutating query twice", q);
+        require(group.zones() == null || group.zones().contains(listing.zone()), "placement by zone", q);
+        require(group.kinds() == null || group.kinds().contains(listing.kind()), "placement by kind", q);
+        if (q.firstRanOn != null && group.effect() != Effect.READ_ONLY) {
+            Listing firstListing = listed.get(q.firstRanOn);
+            require(group.effect() == Effect.TOKENED, "a mutating query was repeated", q);
             require(group.recognised() == Recognised.ALL || group.recognised() == Recognised.ZONE
-                    && ran.zone().equals(to.zone()) || ran.cell().equals(to.cell()), "outside its group", q);
-            require(now - q.ranSince <= group.recognisedFor(), "after its repeats were forgotten", q);
-            require(submit.departBy() < q.ranSince + group.recognisedFor(),
-                    "it may arrive after its repeats are forgotten", q);
+                    && firstListing.zone().equals(listing.zone())
+                    || firstListing.cell().equals(listing.cell()),
+                    "repeat outside the zone or cell that recognises it", q);
+            require(now - q.firstRanSince <= group.recognisedFor(),
+                    "repeat after engines forgot the first submission", q);
+            require(submit.departBy() < q.firstRanSince + group.recognisedFor(),
+                    "it may arrive after engines forgot the first submission", q);
         }
-        if (group.ordered() && q.taken.key() != null) {
-            for (Held other : held.values()) {
-                boolean earlier = other.taken.query().value() < q.taken.query().value();
-                require(!earlier || !group(other).ordered() || !q.taken.key().equals(other.taken.key()),
+        if (group.ordered() && q.event.key() != null) {
+            for (OpenQuery other : openQueries.values()) {
+                boolean earlier = other.event.query().value() < q.event.query().value();
+                require(!earlier || !group(other).ordered() || !q.event.key().equals(other.event.key()),
                         "out of order", q);
             }
-            require(now >= restUntil.getOrDefault(q.taken.key(), 0L), "the key rests", q);
+            require(now >= keyBlockedUntil.getOrDefault(q.event.key(), 0L), "the order key is still delayed",
+                    q);
         }
-        if (q.submissions > 0 && rules.resubmissionBudget() != null) {
-            further.add(now);
-            long since = now - rules.resubmissionBudget().window();
-            double most = rules.resubmissionBudget().freeResubmissions()
-                    + rules.resubmissionBudget().perQuery() * taken.stream().filter(t -> t > since).count();
-            require(further.stream().filter(t -> t > since).count() <= most, "beyond the ration", q);
+        if (q.submissions > 0 && configuration.resubmissionBudget() != null) {
+            resubmittedAt.add(now);
+            long since = now - configuration.resubmissionBudget().window();
+            double limit = configuration.resubmissionBudget().freeResubmissions()
+                    + configuration.resubmissionBudget().perQuery()
+                    * acceptedAt.stream().filter(t -> t > since).count();
+            require(resubmittedAt.stream().filter(t -> t > since).count() <= limit,
+                    "resubmission budget exceeded", q);
         }
-        if (to.startedAt() > 0 && now - to.startedAt() < rules.coldStart().ramp()) {
-            List<long[]> sent = sentCold.computeIfAbsent(to.engine(), e -> new ArrayList<>());
-            // The rule weighs a query by what is usual for its group; this is the least that a front may hold
-            // usual of the draws.
-            sent.add(new long[] {now, q.taken.estimate() > 0 ? USUAL_AT_LEAST : 0});
-            long since = now - rules.coldStart().window();
-            Deployment.ColdStart cold = rules.coldStart();
-            double most = cold.overloadMultiple() * cold.initialSpeed() * 8 * cold.window() / rules.fronts();
-            // Where its part is under one query a front takes its turn with one.
+        if (listing.startedAt() > 0 && now - listing.startedAt() < configuration.coldStart().ramp()) {
+            List<long[]> sent = sentToCold.computeIfAbsent(listing.engine(), e -> new ArrayList<>());
+            // The rule weighs a query by the typical work of its group; this is the least that a front may
+            // have measured from the random queries.
+            sent.add(new long[] {now, q.event.estimate() > 0 ? MIN_TYPICAL_WORK : 0});
+            long since = now - configuration.coldStart().window();
+            Deployment.ColdStart cold = configuration.coldStart();
+            double limit = cold.overloadMultiple() * cold.initialSpeed() * 8 * cold.window()
+                    / configuration.fronts();
+            // A front whose part is less than one query may still send one in its turn.
             require(sent.stream().filter(s -> s[0] > since).mapToLong(s -> s[1]).sum()
-                    <= Math.max(most, USUAL_AT_LEAST), "cold engine", q);
+                    <= Math.max(limit, MIN_TYPICAL_WORK), "cold engine overloaded", q);
         }
         q.submissions++;
-        q.out = submit.engine();
+        q.runningOn = submit.engine();
         q.sentAt = now;
-        q.timeoutAt = Math.min(leavesBy, submit.timeout() > 0
-                ? Math.min(q.taken.clientDeadline(), now + submit.timeout()) : q.taken.clientDeadline());
+        q.timeoutAt = Math.min(shutdownDeadline, submit.timeout() > 0
+                ? Math.min(q.event.clientDeadline(), now + submit.timeout()) : q.event.clientDeadline());
     }
 
-    private Deployment.ResourceGroup group(Held q) {
-        return rules.groups().get(q.taken.group().index());
+    private Deployment.ResourceGroup group(OpenQuery q) {
+        return configuration.groups().get(q.event.group().index());
     }
 
-    private Held unanswered(Id.Query id) {
-        Held q = held.get(id);
-        require(q != null && !q.answered && !q.left, "acts for a query that is over: " + id, q);
+    private OpenQuery unanswered(Id.Query id) {
+        OpenQuery q = openQueries.get(id);
+        require(q != null && !q.answered && !q.clientGone, "action for a query that is over: " + id, q);
         return q;
     }
 
-    private static void require(boolean holds, String what, Held q) {
+    private static void require(boolean holds, String message, OpenQuery q) {
         if (!holds) {
-            throw new AssertionError(what + (q == null ? "" : ": " + q.taken));
+            throw new AssertionError(message + (q == null ? "" : ": " + q.event));
         }
     }
 
-    /** Settings of every sort, the three deployments' among them. */
-    static Deployment draw(SplittableRandom chance) {
-        Set<Id.Zone> zones = chance.nextInt(3) == 0 ? Set.of(new Id.Zone("z1")) : null;
-        Set<Id.Kind> kinds = chance.nextInt(4) == 0 ? new HashSet<>(List.of(new Id.Kind("m"))) : null;
-        boolean ordered = chance.nextBoolean();
-        Deployment.ResourceGroup third = new Deployment.ResourceGroup(8_000, 2, 2, chance.nextInt(2) * 0.4,
-                1 + chance.nextInt(3), Effect.values()[chance.nextInt(3)],
-                Recognised.values()[chance.nextInt(3)],
-                2 * SECOND, ordered, zones, kinds);
+    /** A random deployment; the settings of the three real ones are among the possible ones. */
+    static Deployment randomDeployment(SplittableRandom random) {
+        Set<Id.Zone> zones = random.nextInt(3) == 0 ? Set.of(new Id.Zone("z1")) : null;
+        Set<Id.Kind> kinds = random.nextInt(4) == 0 ? new HashSet<>(List.of(new Id.Kind("m"))) : null;
+        boolean ordered = random.nextBoolean();
+        Deployment.ResourceGroup third = new Deployment.ResourceGroup(8_000, 2, 2, random.nextInt(2) * 0.4,
+                1 + random.nextInt(3), Effect.values()[random.nextInt(3)],
+                Recognised.values()[random.nextInt(3)],
+                2 * TICKS_PER_SECOND, ordered, zones, kinds);
         Deployment.ResourceGroup fourth = new Deployment.ResourceGroup(8_000, 0, 1, 0, 1,
-                Effect.values()[chance.nextInt(3)], Recognised.values()[chance.nextInt(3)], 3 * SECOND,
+                Effect.values()[random.nextInt(3)], Recognised.values()[random.nextInt(3)],
+                3 * TICKS_PER_SECOND,
                 ordered, null, null);
-        Deployment.Ration ration = chance.nextInt(3) == 0 ? null
-                : new Deployment.Ration(chance.nextInt(4), 0.1, (1 + chance.nextInt(8)) * SECOND);
+        Deployment.Ration ration = random.nextInt(3) == 0 ? null
+                : new Deployment.Ration(random.nextInt(4), 0.1, (1 + random.nextInt(8)) * TICKS_PER_SECOND);
         int[] fronts = {1, 2, 7, 300};
-        return deployment(fronts[chance.nextInt(4)], chance.nextBoolean(), chance.nextInt(3) == 0, ration,
+        return deployment(fronts[random.nextInt(4)], random.nextBoolean(), random.nextInt(3) == 0, ration,
                 SHORT, LONG, third, fourth);
     }
 }
--- a/src/test/java/reedspring/ControlTest.java
+++ b/src/test/java/reedspring/ControlTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import reedspring.ControlHarness.Held;
+import reedspring.ControlHarness.OpenQuery;
 import reedspring.api.Action;
 import reedspring.api.Deployment;
 import reedspring.api.Deployment.Effect;
@@ -24,720 +24,760 @@
 import reedspring.api.Id;
 
 class ControlTest {
-    private static final long SECOND = ControlHarness.SECOND;
+    private static final long TICKS_PER_SECOND = ControlHarness.TICKS_PER_SECOND;
 
-    /** All seven rules, checked by the house at every action, over random settings and random bad luck. */
+    /** Random deployments, events and failures; the harness checks the seven rules at every action. */
     @Property(seed = "20261201", tries = 150, generation = net.jqwik.api.GenerationMode.RANDOMIZED)
-    void rulesHoldWhateverHappens(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        ControlHarness house = new ControlHarness(ControlHarness.draw(chance));
-        int fleet = 1 + chance.nextInt(6);
-        Listing[] all = new Listing[fleet];
-        for (int k = 0; k < fleet; k++) {
-            all[k] = ControlHarness.engine(k, Health.UP, chance.nextInt(4) == 0
-                    ? house.now - chance.nextInt(100_000) : 0);
-        }
-        house.list(Reading.REMEMBERED, all);
-        double trouble = chance.nextDouble();
+    void rulesHoldUnderRandomEvents(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        ControlHarness harness = new ControlHarness(ControlHarness.randomDeployment(random));
+        int engineCount = 1 + random.nextInt(6);
+        Listing[] listings = new Listing[engineCount];
+        for (int k = 0; k < engineCount; k++) {
+            listings[k] = ControlHarness.engine(k, Health.UP, random.nextInt(4) == 0
+                    ? harness.now - random.nextInt(100_000) : 0);
+        }
+        harness.list(Reading.REMEMBERED, listings);
+        double errorRatio = random.nextDouble();
         for (int step = 0; step < 600; step++) {
-            house.pass(1 + chance.nextInt(chance.nextInt(10) == 0 ? 4000 : 300));
-            switch (chance.nextInt(10)) {
+            harness.advance(1 + random.nextInt(random.nextInt(10) == 0 ? 4000 : 300));
+            switch (random.nextInt(10)) {
                 case 0, 1, 2, 3 -> {
-                    for (int burst = chance.nextInt(20) == 0 ? 60 : 1; burst > 0; burst--) {
-                        house.take(chance.nextInt(4), chance.nextInt(3) - 1, chance.nextInt(5) == 0 ? 0
-                                        : 100 + chance.nextInt(20_000), 10 + chance.nextInt(40_000),
-                                chance.nextInt(3) == 0 ? null : new Id.OrderKey("k" + chance.nextInt(3)));
+                    for (int burst = random.nextInt(20) == 0 ? 60 : 1; burst > 0; burst--) {
+                        harness.accept(random.nextInt(4), random.nextInt(3) - 1, random.nextInt(5) == 0 ? 0
+                                        : 100 + random.nextInt(20_000), 10 + random.nextInt(40_000),
+                                random.nextInt(3) == 0 ? null : new Id.OrderKey("k" + random.nextInt(3)));
                     }
                 }
                 case 4, 5, 6, 7 -> {
-                    List<Held> out = house.held.values().stream().filter(q -> q.out != null).toList();
-                    if (!out.isEmpty()) {
+                    List<OpenQuery> running = harness.openQueries.values().stream()
+                            .filter(q -> q.runningOn != null).toList();
+                    if (!running.isEmpty()) {
                         Outcome[] outcomes = Outcome.values();
-                        house.unseen = chance.nextInt(4) == 0 ? chance.nextInt(8_000) : 0;
-                        house.end(out.get(chance.nextInt(out.size())), chance.nextDouble() > trouble
-                                ? Outcome.FINISHED : outcomes[chance.nextInt(outcomes.length)]);
+                        harness.arrivalUncertainty = random.nextInt(4) == 0 ? random.nextInt(8_000) : 0;
+                        harness.end(running.get(random.nextInt(running.size())),
+                                random.nextDouble() > errorRatio ? Outcome.FINISHED
+                                        : outcomes[random.nextInt(outcomes.length)]);
                     }
                 }
-                case 8 -> disturb(house, chance, fleet, seed);
+                case 8 -> disturb(harness, random, engineCount, seed);
                 default -> {
-                    List<Held> open = new ArrayList<>(house.held.values());
+                    List<OpenQuery> open = new ArrayList<>(harness.openQueries.values());
                     if (!open.isEmpty()) {
-                        Held q = open.get(chance.nextInt(open.size()));
-                        if (chance.nextInt(4) == 0 && !q.answered && !q.left) {
-                            house.leave(q);
-                        } else if (q.out != null) {
-                            house.on(new Event.ShareDone(q.taken.query(),
+                        OpenQuery q = open.get(random.nextInt(open.size()));
+                        if (random.nextInt(4) == 0 && !q.answered && !q.clientGone) {
+                            harness.disconnect(q);
+                        } else if (q.runningOn != null) {
+                            harness.on(new Event.ShareDone(q.event.query(),
                                     new Id.Submission(q.submissions - 1),
-                                    chance.nextDouble(), chance.nextInt(3) * 500));
+                                    random.nextDouble(), random.nextInt(3) * 500));
                         }
                     }
                 }
             }
         }
         if (seed % 2 == 0) {
-            house.leaving(house.now + 3 * SECOND);
+            harness.shutDown(harness.now + 3 * TICKS_PER_SECOND);
             for (int step = 0; step < 40; step++) {
-                house.pass(1 + chance.nextInt(1_000));
-                house.take(chance.nextInt(4), 0, 100 + chance.nextInt(20_000), 10 + chance.nextInt(40_000),
-                        chance.nextInt(3) == 0 ? null : new Id.OrderKey("k" + chance.nextInt(3)));
+                harness.advance(1 + random.nextInt(1_000));
+                harness.accept(random.nextInt(4), 0, 100 + random.nextInt(20_000),
+                        10 + random.nextInt(40_000),
+                        random.nextInt(3) == 0 ? null : new Id.OrderKey("k" + random.nextInt(3)));
             }
         }
-        house.pass(20 * SECOND);
-        assertEquals(List.of(), new ArrayList<>(house.held.values()), "something is held for good");
+        harness.advance(20 * TICKS_PER_SECOND);
+        assertEquals(List.of(), new ArrayList<>(harness.openQueries.values()), "queries that never ended");
     }
 
-    /** 1.2 threads a core are the least, all told: what was grown beyond the share goes first. */
+    /** The minimum limit of 1.2 threads per core includes the extra threads, which are given up first. */
     @Example
-    void underAnOverloadNothingIsLeftOfWhatWasGrown() {
-        ControlHarness house = calm(2, plain());
+    void anOverloadRemovesTheExtraThreads() {
+        ControlHarness harness = harnessWithWarmEngines(2, defaultDeployment());
         for (int k = 0; k < 20; k++) {
-            serve(house, house.take(0, 0, 2_000, 50_000, null), 2_000);
+            finishAfter(harness, harness.accept(0, 0, 2_000, 50_000, null), 2_000);
         }
         for (int round = 0; round < 200; round++) {
-            house.take(0, 0, 2_000, 300_000, null);
-            house.pass(400);
-            house.held.values().stream().filter(q -> q.out != null && house.now - q.sentAt > 8_000)
-                    .findFirst().ifPresent(q -> house.end(q, Outcome.FINISHED));
+            harness.accept(0, 0, 2_000, 300_000, null);
+            harness.advance(400);
+            harness.openQueries.values().stream()
+                    .filter(q -> q.runningOn != null && harness.now - q.sentAt > 8_000)
+                    .findFirst().ifPresent(q -> harness.end(q, Outcome.FINISHED));
         }
         // two engines of 8 cores, half of them this front's
-        long out = house.held.values().stream().filter(q -> q.out != null).count();
-        assertTrue(out >= 4 && out <= 1.2 * 8 + 1, out + " threads out");
+        long running = harness.openQueries.values().stream().filter(q -> q.runningOn != null).count();
+        assertTrue(running >= 4 && running <= 1.2 * 8 + 1, running + " threads running");
     }
 
-    /** With 300 ms of patience and a target of 1.4 s, waiting till the end of either helps nobody. */
+    /** With a client deadline of 300 ms and a target of 1.4 s, the query must not be queued until either. */
     @Example
-    void whatCanNotEndWithinItsClientsPatienceIsDeferredAtOnce() {
-        ControlHarness house = calm(1, plain());
+    void aQueryThatCanNotFinishBeforeItsDeadlineIsDeferred() {
+        ControlHarness harness = harnessWithWarmEngines(1, defaultDeployment());
         for (int k = 0; k < 30; k++) {
-            house.take(1, 0, 40_000, 150_000, null);
+            harness.accept(1, 0, 40_000, 150_000, null);
         }
-        Held q = house.take(0, 1, 2_000, 3_000, null);
-        assertEquals(null, q.out, "the bound is met");
-        house.pass(150);
-        assertTrue(!q.answered, "it could still be in time");
-        house.pass(850);
-        assertTrue(q.answered, "held although it can't be in time any more");
+        OpenQuery q = harness.accept(0, 1, 2_000, 3_000, null);
+        assertEquals(null, q.runningOn, "the concurrency limit is reached");
+        harness.advance(150);
+        assertTrue(!q.answered, "it can still finish in time");
+        harness.advance(850);
+        assertTrue(q.answered, "still queued although it can't finish in time");
     }
 
-    /** A new process is known to be slow before any run there has shown it. */
+    /** A cold engine is assumed to be slow before any measurement. */
     @Example
-    void whatAColdEngineWouldNotEndInTimeGoesToAWarmOne() {
-        ControlHarness house = calm(1, ControlHarness.deployment(1, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
-        house.list(Reading.CHANGES, new Listing(new Id.Engine("cold"), new Id.Kind("m"), new Id.Zone("z0"),
-                new Id.Cell(0), Health.UP, house.now));
-        house.pass(5 * SECOND / 2);
+    void aQueryTooSlowForAColdEngineGoesToAWarmOne() {
+        ControlHarness harness = harnessWithWarmEngines(1,
+                ControlHarness.deployment(1, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+        harness.list(Reading.CHANGES, new Listing(new Id.Engine("cold"), new Id.Kind("m"), new Id.Zone("z0"),
+                new Id.Cell(0), Health.UP, harness.now));
+        harness.advance(5 * TICKS_PER_SECOND / 2);
         for (int k = 0; k < 4; k++) {
-            house.take(0, 0, 2_000, 50_000, null);
+            harness.accept(0, 0, 2_000, 50_000, null);
         }
-        List<Held> warm = house.held.values().stream().filter(q -> q.out.address().equals("e0")).toList();
-        assertTrue(warm.size() >= 2, "threads are out on the warm one: " + warm.size());
-        // 0.2 s of work, 0.45 s of patience: half of the speed is too slow.
+        List<OpenQuery> warm = harness.openQueries.values().stream()
+                .filter(q -> q.runningOn.address().equals("e0")).toList();
+        assertTrue(warm.size() >= 2, "threads on the warm engine: " + warm.size());
+        // 0.2 s of work and a deadline of 0.45 s: half the speed is too slow.
         for (int k = 0; k < 6; k++) {
-            assertEquals("e0", house.take(0, 0, 2_000, 4_500, null).out.address());
+            assertEquals("e0", harness.accept(0, 0, 2_000, 4_500, null).runningOn.address());
         }
     }
 
-    /** A client of 30 s and a process of 3 s more: a retry is offered wherever it is safe, in time. */
+    /** With clients that wait 30 s and a shutdown within 3 s, all get an answer, a retry where it is safe. */
     @Example
-    void aFrontThatEndsAnswersWhatWaitsAndWhatHangs() {
-        ControlHarness house = calm(1, ControlHarness.deployment(false, false, null, ControlHarness.SHORT,
+    void aFrontThatShutsDownAnswersQueuedAndRunningQueries() {
+        ControlHarness harness = harnessWithWarmEngines(1,
+                ControlHarness.deployment(false, false, null, ControlHarness.SHORT,
                 ControlHarness.group(10_000, 1, 1, Effect.MUTATING)));
         for (int k = 0; k < 60; k++) {
-            house.take(k % 2, 0, 2_000, 30 * SECOND, null);
-        }
-        house.pass(SECOND / 2);
-        long by = house.now + 3 * SECOND;
-        house.leaving(by);
-        house.pass(3 * SECOND - 1);
-        assertTrue(house.held.values().stream().allMatch(q -> q.out != null), "what waits goes before");
-        house.pass(1_000);
-        assertTrue(house.held.isEmpty(), house.held::toString);
-    }
-
-    private static void disturb(ControlHarness house, SplittableRandom chance, int fleet, long seed) {
-        int k = chance.nextInt(fleet);
-        switch (chance.nextInt(6)) {
-            case 0 -> house.list(Reading.CHANGES, ControlHarness.engine(k, Health.DRAINING, 0));
-            case 1 -> house.list(Reading.CHANGES, ControlHarness.engine(k, Health.GONE, 0));
-            case 2 -> house.list(Reading.COMPLETE, ControlHarness.engine(k, Health.UP, house.now));
-            case 3 -> house.on(new Event.ListUnavailable());
+            harness.accept(k % 2, 0, 2_000, 30 * TICKS_PER_SECOND, null);
+        }
+        harness.advance(TICKS_PER_SECOND / 2);
+        long deadline = harness.now + 3 * TICKS_PER_SECOND;
+        harness.shutDown(deadline);
+        harness.advance(3 * TICKS_PER_SECOND - 1);
+        assertTrue(harness.openQueries.values().stream().allMatch(q -> q.runningOn != null),
+                "queued queries are answered first");
+        harness.advance(1_000);
+        assertTrue(harness.openQueries.isEmpty(), harness.openQueries::toString);
+    }
+
+    private static void disturb(ControlHarness harness, SplittableRandom random, int engineCount, long seed) {
+        int k = random.nextInt(engineCount);
+        switch (random.nextInt(6)) {
+            case 0 -> harness.list(Reading.CHANGES, ControlHarness.engine(k, Health.DRAINING, 0));
+            case 1 -> harness.list(Reading.CHANGES, ControlHarness.engine(k, Health.GONE, 0));
+            case 2 -> harness.list(Reading.COMPLETE, ControlHarness.engine(k, Health.UP, harness.now));
+            case 3 -> harness.on(new Event.ListUnavailable());
             case 4 -> {
-                if (chance.nextInt(10) == 0) {
-                    house.start(seed + 1);
-                    house.list(Reading.REMEMBERED, ControlHarness.engine(k, Health.UP, 0));
+                if (random.nextInt(10) == 0) {
+                    harness.start(seed + 1);
+                    harness.list(Reading.REMEMBERED, ControlHarness.engine(k, Health.UP, 0));
                 }
             }
-            default -> house.list(Reading.CHANGES, ControlHarness.engine(k, Health.UP,
-                    house.now - chance.nextInt(50_000)));
+            default -> harness.list(Reading.CHANGES, ControlHarness.engine(k, Health.UP,
+                    harness.now - random.nextInt(50_000)));
         }
     }
 
-    private static ControlHarness calm(int engines, Deployment rules) {
-        ControlHarness house = new ControlHarness(rules);
-        Listing[] all = new Listing[engines];
+    private static ControlHarness harnessWithWarmEngines(int engines, Deployment deployment) {
+        ControlHarness harness = new ControlHarness(deployment);
+        Listing[] listings = new Listing[engines];
         for (int k = 0; k < engines; k++) {
-            all[k] = new Listing(new Id.Engine("e" + k), new Id.Kind("m"), new Id.Zone("z" + k % 2),
+            listings[k] = new Listing(new Id.Engine("e" + k), new Id.Kind("m"), new Id.Zone("z" + k % 2),
                     new Id.Cell(k % 3), Health.UP, 0);
         }
-        house.list(Reading.REMEMBERED, all);
-        return house;
+        harness.list(Reading.REMEMBERED, listings);
+        return harness;
     }
 
-    private static Deployment plain() {
+    private static Deployment defaultDeployment() {
         return ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG);
     }
 
-    private static void serve(ControlHarness house, Held q, long took) {
-        house.pass(took);
-        house.end(q, Outcome.FINISHED);
+    private static void finishAfter(ControlHarness harness, OpenQuery q, long ticks) {
+        harness.advance(ticks);
+        harness.end(q, Outcome.FINISHED);
     }
 
     @Example
-    void theBoundHoldsBackWhatTheFleetCanNotRun() {
-        ControlHarness house = calm(2, plain());
+    void theConcurrencyLimitQueuesExcessQueries() {
+        ControlHarness harness = harnessWithWarmEngines(2, defaultDeployment());
         for (int k = 0; k < 40; k++) {
-            house.take(0, 0, 2000, 50_000, null);
+            harness.accept(0, 0, 2000, 50_000, null);
         }
-        // two engines of 8 cores, half of them this front's, 2 threads a core, and one long query's 4
-        assertEquals(20, house.submits.size());
-        long first = house.submits.stream().filter(s -> s.engine().address().equals("e0")).count();
+        // two engines of 8 cores, half of them this front's, 2 threads per core, and one long query's 4
+        assertEquals(20, harness.submits.size());
+        long first = harness.submits.stream().filter(s -> s.engine().address().equals("e0")).count();
         assertTrue(Math.abs(10 - first) <= 2, "evenly spread: " + first);
     }
 
-    /** Where engines page, a large query that finds no memory must not hold up smaller ones of its tenant. */
+    /** A large query that waits for memory must not block smaller ones of the same tenant. */
     @Example
-    void aQueryThatNeedsLessMemoryPassesOneThatFindsNone() {
-        ControlHarness house = calm(1, ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
-        house.take(1, 0, 500_000, 50 * SECOND, null);
-        Held large = house.take(1, 0, 400_000, 50 * SECOND, null);
-        Held small = house.take(1, 0, 10_000, 50 * SECOND, null);
-        assertTrue(large.out == null && small.out != null);
-        // What waits for memory only is no backlog that others would wait for.
-        house.pass(SECOND);
+    void aSmallQueryPassesOneThatWaitsForMemory() {
+        ControlHarness harness = harnessWithWarmEngines(1,
+                ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+        harness.accept(1, 0, 500_000, 50 * TICKS_PER_SECOND, null);
+        OpenQuery large = harness.accept(1, 0, 400_000, 50 * TICKS_PER_SECOND, null);
+        OpenQuery small = harness.accept(1, 0, 10_000, 50 * TICKS_PER_SECOND, null);
+        assertTrue(large.runningOn == null && small.runningOn != null);
+        // A query that waits only for memory does not delay others, so it is not shed.
+        harness.advance(TICKS_PER_SECOND);
         assertFalse(large.answered);
     }
 
-    /** Others' memory on an engine is as much as this front's on average, not always their whole part. */
+    /** Other fronts are expected to use as much memory as this one, not always their whole share. */
     @Example
-    void anEngineTakesMoreThanOnePartOfItsMemoryWhileTheFleetHasRoom() {
-        ControlHarness house = calm(2, ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
-        house.take(1, 0, 500_000, 50 * SECOND, null);
-        house.take(1, 0, 500_000, 50 * SECOND, null);
-        assertEquals(2, house.submits.stream().map(Action.Submit::engine).distinct().count());
-        assertTrue(house.take(1, 0, 250_000, 50 * SECOND, null).out != null, "7,500 of 16,000 MB");
-        assertTrue(house.take(1, 0, 200_000, 50 * SECOND, null).out == null, "over the part of the fleet");
+    void anEngineMayExceedItsMemoryShareWhileTheFleetHasFreeMemory() {
+        ControlHarness harness = harnessWithWarmEngines(2,
+                ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+        harness.accept(1, 0, 500_000, 50 * TICKS_PER_SECOND, null);
+        harness.accept(1, 0, 500_000, 50 * TICKS_PER_SECOND, null);
+        assertEquals(2, harness.submits.stream().map(Action.Submit::engine).distinct().count());
+        assertTrue(harness.accept(1, 0, 250_000, 50 * TICKS_PER_SECOND, null).runningOn != null,
+                "7,500 of 16,000 MB");
+        assertTrue(harness.accept(1, 0, 200_000, 50 * TICKS_PER_SECOND, null).runningOn == null,
+                "beyond the share of the total memory");
     }
 
     @Example
-    void faultsOfAllEnginesAlikeShrinkNothing() {
-        ControlHarness house = calm(2, plain());
+    void errorsOnAllEnginesDoNotReduceTheLimit() {
+        ControlHarness harness = harnessWithWarmEngines(2, defaultDeployment());
         for (int k = 0; k < 16; k++) {
-            Held q = house.take(0, 0, 2000, 50_000, null);
-            house.pass(100);
-            while (q.out != null && k % 4 < 3) {
-                house.end(q, Outcome.BROKEN);
+            OpenQuery q = harness.accept(0, 0, 2000, 50_000, null);
+            harness.advance(100);
+            while (q.runningOn != null && k % 4 < 3) {
+                harness.end(q, Outcome.BROKEN);
             }
-            if (q.out != null) {
-                house.end(q, Outcome.FINISHED);
+            if (q.runningOn != null) {
+                harness.end(q, Outcome.FINISHED);
             }
-            house.pass(SECOND);
+            harness.advance(TICKS_PER_SECOND);
         }
-        house.submits.clear();
+        harness.submits.clear();
         for (int k = 0; k < 40; k++) {
-            house.take(0, 0, 90_000, 500_000, null);
+            harness.accept(0, 0, 90_000, 500_000, null);
         }
-        assertTrue(house.submits.size() >= 14, "about as many as on a calm fleet: " + house.submits.size());
+        assertTrue(harness.submits.size() >= 14,
+                "about as many as without errors: " + harness.submits.size());
     }
 
-    /** Past its target an answer has a value of its own in some groups; it must cost the others nothing. */
+    /** In some groups an answer past its target has a value; it must not delay other queries. */
     @Example
-    void whatIsPastItsTargetRunsOnceNothingElseWaitsIfItHasAValueEvenSo() {
+    void aQueryPastItsTargetThatHasAValueRunsOnSpareCapacity() {
         Deployment.ResourceGroup late = new Deployment.ResourceGroup(15_000, 2, 5, 0.4, 4, Effect.READ_ONLY,
-                Deployment.Recognised.ALL, 4 * SECOND, false, null, null);
-        ControlHarness house = calm(1, ControlHarness.deployment(true, false, null, ControlHarness.SHORT, late));
-        Held first = house.take(1, 0, 500_000, 500 * SECOND, null);
-        Held waits = house.take(1, 0, 400_000, 500 * SECOND, null);
-        house.pass(15 * SECOND);
-        assertTrue(waits.out == null && !waits.answered, "past its target, no memory for it, and still held");
-        Held onTime = house.take(1, 0, 400_000, 500 * SECOND, null);
-        house.end(first, Outcome.FINISHED);
-        assertTrue(waits.out == null && onTime.out != null);
-        house.pass(SECOND);
-        house.end(onTime, Outcome.FINISHED);
-        house.pass(SECOND);
-        assertTrue(waits.out != null);
-    }
-
-    /** Engines are replaced for as long as a front lives, and nothing is kept of those that have gone. */
-    @Example
-    void nothingGrowsWithEnginesQueriesAndKeysThatHaveGone() {
+                Deployment.Recognised.ALL, 4 * TICKS_PER_SECOND, false, null, null);
+        ControlHarness harness = harnessWithWarmEngines(1,
+                ControlHarness.deployment(true, false, null, ControlHarness.SHORT, late));
+        OpenQuery first = harness.accept(1, 0, 500_000, 500 * TICKS_PER_SECOND, null);
+        OpenQuery waits = harness.accept(1, 0, 400_000, 500 * TICKS_PER_SECOND, null);
+        harness.advance(15 * TICKS_PER_SECOND);
+        assertTrue(waits.runningOn == null && !waits.answered,
+                "past its target, waiting for memory and still queued");
+        OpenQuery onTime = harness.accept(1, 0, 400_000, 500 * TICKS_PER_SECOND, null);
+        harness.end(first, Outcome.FINISHED);
+        assertTrue(waits.runningOn == null && onTime.runningOn != null);
+        harness.advance(TICKS_PER_SECOND);
+        harness.end(onTime, Outcome.FINISHED);
+        harness.advance(TICKS_PER_SECOND);
+        assertTrue(waits.runningOn != null);
+    }
+
+    /** Guards against leaks: engines are replaced throughout a front's life. */
+    @Example
+    void stateOfRemovedEnginesQueriesAndKeysIsFreed() {
         Deployment.ResourceGroup ordered = new Deployment.ResourceGroup(8_000, 0, 1, 0, 1, Effect.TOKENED,
-                Deployment.Recognised.CELL, 2 * SECOND, true, null, null);
-        ControlHarness house = calm(4, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG, ordered));
+                Deployment.Recognised.CELL, 2 * TICKS_PER_SECOND, true, null, null);
+        ControlHarness harness = harnessWithWarmEngines(4,
+                ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG,
+                ordered));
         for (int k = 4; k < 1_500; k++) {
-            List<Held> out = new ArrayList<>();
+            List<OpenQuery> queries = new ArrayList<>();
             for (int g = 0; g < 3; g++) {
-                out.add(house.take(g, 0, 500, 3 * SECOND, new Id.OrderKey("k" + k)));
+                queries.add(harness.accept(g, 0, 500, 3 * TICKS_PER_SECOND, new Id.OrderKey("k" + k)));
             }
             Listing[] list = new Listing[4];
             for (int j = 0; j < 4; j++) {
                 list[j] = new Listing(new Id.Engine("e" + (k - j)), new Id.Kind("m"), new Id.Zone("z"),
                         new Id.Cell(0), Health.UP, 0);
             }
-            house.list(k % 2 == 0 ? Reading.COMPLETE : Reading.CHANGES, list);
-            house.list(Reading.CHANGES, ControlHarness.engine(k - 4, Health.GONE, 0));
-            house.pass(200);
-            Outcome how = Outcome.values()[k % Outcome.values().length];
-            out.stream().filter(q -> q.out != null).forEach(q -> house.end(q, how));
-            out.stream().filter(q -> !q.answered && !q.left).forEach(house::leave);
-            out.stream().filter(q -> q.out != null).forEach(q -> house.end(q, Outcome.TIMED_OUT));
-            house.pass(300);
+            harness.list(k % 2 == 0 ? Reading.COMPLETE : Reading.CHANGES, list);
+            harness.list(Reading.CHANGES, ControlHarness.engine(k - 4, Health.GONE, 0));
+            harness.advance(200);
+            Outcome outcome = Outcome.values()[k % Outcome.values().length];
+            queries.stream().filter(q -> q.runningOn != null).forEach(q -> harness.end(q, outcome));
+            queries.stream().filter(q -> !q.answered && !q.clientGone).forEach(harness::disconnect);
+            queries.stream().filter(q -> q.runningOn != null).forEach(q -> harness.end(q, Outcome.TIMED_OUT));
+            harness.advance(300);
         }
-        house.pass(20 * SECOND);
-        assertTrue(house.control.heldEntries() <= 24, "held: " + house.control.heldEntries());
+        harness.advance(20 * TICKS_PER_SECOND);
+        assertTrue(harness.control.heldEntries() <= 24, "entries held: " + harness.control.heldEntries());
     }
 
-    /** Which of two rows of one name is right nobody can tell; the later one has not been replaced. */
+    /** If a list holds two entries for an engine, the later one counts. */
     @Example
-    void ofAnEngineThatAListNamesTwiceTheLastRowCountsOnce() {
+    void theLastEntryOfAnEngineListedTwiceCounts() {
         for (Reading reading : List.of(Reading.CHANGES, Reading.COMPLETE)) {
-            ControlHarness house = calm(2, plain());
+            ControlHarness harness = harnessWithWarmEngines(2, defaultDeployment());
             Listing ready = ControlHarness.engine(9, Health.UP, 0);
             Listing drains = ControlHarness.engine(9, Health.DRAINING, 0);
-            int held = house.control.heldEntries();
-            house.list(reading, ControlHarness.engine(8, Health.UP, 0), drains, ControlHarness.engine(7, Health.UP, 0), ready);
-            assertEquals(held + 3, house.control.heldEntries());
-            assertTrue(submitsTo(house, "e9") > 0, "ready by its last row");
-            house.list(reading, ControlHarness.engine(8, Health.UP, 0), ready, ControlHarness.engine(7, Health.UP, 0), drains);
-            assertEquals(held + 3, house.control.heldEntries());
-            assertEquals(0, submitsTo(house, "e9"), "drains by its last row");
+            int held = harness.control.heldEntries();
+            harness.list(reading, ControlHarness.engine(8, Health.UP, 0), drains,
+                    ControlHarness.engine(7, Health.UP, 0), ready);
+            assertEquals(held + 3, harness.control.heldEntries());
+            assertTrue(submitsTo(harness, "e9") > 0, "up by its last entry");
+            harness.list(reading, ControlHarness.engine(8, Health.UP, 0), ready,
+                    ControlHarness.engine(7, Health.UP, 0), drains);
+            assertEquals(held + 3, harness.control.heldEntries());
+            assertEquals(0, submitsTo(harness, "e9"), "draining by its last entry");
         }
     }
 
-    /** Its row may be free by then, and the new engine would take it with all that the list says of it. */
+    /** The row of an engine that returns must not be given to a new engine of the same list. */
     @Example
-    void anEngineThatComesBackBesideANewOneIsNotLostToIt() {
-        ControlHarness house = calm(3, plain());
-        house.list(Reading.CHANGES, ControlHarness.engine(1, Health.GONE, 0));
-        house.list(Reading.CHANGES, ControlHarness.engine(1, Health.UP, 0), ControlHarness.engine(5, Health.UP, 0));
-        assertTrue(submitsTo(house, "e1") > 0 && submitsTo(house, "e5") > 0, house.submits::toString);
+    void aReturningEngineKeepsItsRowBesideANewOne() {
+        ControlHarness harness = harnessWithWarmEngines(3, defaultDeployment());
+        harness.list(Reading.CHANGES, ControlHarness.engine(1, Health.GONE, 0));
+        harness.list(Reading.CHANGES, ControlHarness.engine(1, Health.UP, 0),
+                ControlHarness.engine(5, Health.UP, 0));
+        assertTrue(submitsTo(harness, "e1") > 0 && submitsTo(harness, "e5") > 0, harness.submits::toString);
     }
 
-    private static long submitsTo(ControlHarness house, String name) {
-        house.submits.clear();
+    private static long submitsTo(ControlHarness harness, String name) {
+        harness.submits.clear();
         for (int k = 0; k < 60; k++) {
-            serve(house, house.take(0, 0, 2_000, 50_000, null), 200);
+            finishAfter(harness, harness.accept(0, 0, 2_000, 50_000, null), 200);
         }
-        return house.submits.stream().filter(s -> s.engine().address().equals(name)).count();
+        return harness.submits.stream().filter(s -> s.engine().address().equals(name)).count();
     }
 
     @Example
-    void aLightTenantGoesFirstAndEachTenantKeepsItsOrder() {
-        ControlHarness house = calm(1, plain());
-        List<Held> heavy = new ArrayList<>();
+    void theTenantWithLeastUsageGoesFirstAndEachKeepsItsOrder() {
+        ControlHarness harness = harnessWithWarmEngines(1, defaultDeployment());
+        List<OpenQuery> heavy = new ArrayList<>();
         for (int k = 0; k < 12; k++) {
-            heavy.add(house.take(0, 0, 2000, 50_000, null));
+            heavy.add(harness.accept(0, 0, 2000, 50_000, null));
         }
-        serve(house, heavy.get(0), 100);
-        Held light = house.take(0, 1, 2000, 50_000, null);
-        serve(house, heavy.get(1), 100);
-        List<Id.Query> order = house.submits.stream().map(Action.Submit::query).toList();
-        assertTrue(light.out != null, "the lighter tenant's query left first");
+        finishAfter(harness, heavy.get(0), 100);
+        OpenQuery light = harness.accept(0, 1, 2000, 50_000, null);
+        finishAfter(harness, heavy.get(1), 100);
+        List<Id.Query> order = harness.submits.stream().map(Action.Submit::query).toList();
+        assertTrue(light.runningOn != null, "the query of the tenant with less usage was submitted first");
         for (int k = 1; k < heavy.size(); k++) {
             if (heavy.get(k).submissions > 0) {
-                int before = order.indexOf(heavy.get(k - 1).taken.query());
-                assertTrue(before < order.indexOf(heavy.get(k).taken.query()));
+                int before = order.indexOf(heavy.get(k - 1).event.query());
+                assertTrue(before < order.indexOf(heavy.get(k).event.query()));
             }
         }
     }
 
     @Example
-    void anEmptyListHoldsQueriesAndThenDefersThem() {
-        ControlHarness house = new ControlHarness(plain());
-        Held q = house.take(0, -1, 0, 50_000, null);
-        house.list(Reading.COMPLETE);
-        house.pass(5 * SECOND);
+    void anEmptyEngineListQueuesAndThenDefersQueries() {
+        ControlHarness harness = new ControlHarness(defaultDeployment());
+        OpenQuery q = harness.accept(0, -1, 0, 50_000, null);
+        harness.list(Reading.COMPLETE);
+        harness.advance(5 * TICKS_PER_SECOND);
         assertTrue(q.answered);
-        assertEquals(0, house.submits.size());
+        assertEquals(0, harness.submits.size());
     }
 
-    /** zwrotka-waw, i1ee9d1: a client's repeat came with less time left than one pulse. */
+    /** Run zwrotka-waw, i1ee9d1: a client's retry arrived with less time left than the periodic check. */
     @Example
     void aQueryThatArrivesWithNoTimeLeftIsAnsweredAtOnce() {
-        ControlHarness house = new ControlHarness(plain());
-        assertTrue(house.take(0, 0, 1000, 3, null).answered);
+        ControlHarness harness = new ControlHarness(defaultDeployment());
+        assertTrue(harness.accept(0, 0, 1000, 3, null).answered);
     }
 
-    /** binh-duong-shared, overload: the place in the ration had lapsed when the query left the queue. */
+    /** Run binh-duong-shared, overload: the budget had shrunk by the time the query left the queue. */
     @Example
-    void theRationIsAskedWhenTheFurtherSubmissionLeaves() {
-        ControlHarness house = calm(1, ControlHarness.deployment(true, false, new Deployment.Ration(1, 0, 10 * SECOND),
+    void theResubmissionBudgetIsCheckedAtDispatch() {
+        ControlHarness harness = harnessWithWarmEngines(1,
+                ControlHarness.deployment(true, false, new Deployment.Ration(1, 0, 10 * TICKS_PER_SECOND),
                 ControlHarness.SHORT));
-        Held one = house.take(0, 0, 1000, 50_000, null);
-        Held two = house.take(0, 0, 1000, 50_000, null);
-        house.end(one, Outcome.ERROR);
-        house.end(two, Outcome.ERROR);
-        house.pass(4 * SECOND);
-        assertEquals(3, house.submits.size());
+        OpenQuery one = harness.accept(0, 0, 1000, 50_000, null);
+        OpenQuery two = harness.accept(0, 0, 1000, 50_000, null);
+        harness.end(one, Outcome.ERROR);
+        harness.end(two, Outcome.ERROR);
+        harness.advance(4 * TICKS_PER_SECOND);
+        assertEquals(3, harness.submits.size());
     }
 
     @Example
-    void anEngineThatFailsAllIsBarredAndFindsItsWayBack() {
-        ControlHarness house = calm(4, plain());
+    void anEngineThatFailsIsEjectedAndReturnsAfterProbes() {
+        ControlHarness harness = harnessWithWarmEngines(4, defaultDeployment());
         Set<Id.Engine> late = new HashSet<>();
         for (int k = 0; k < 600; k++) {
-            Held q = house.take(0, 0, 500, 50_000, null);
-            house.pass(300);
-            boolean bad = k < 300;
-            int before = house.submits.size();
-            while (q.out != null) {
-                if (k > 30 && bad) {
-                    late.add(q.out);
+            OpenQuery q = harness.accept(0, 0, 500, 50_000, null);
+            harness.advance(300);
+            boolean failing = k < 300;
+            int before = harness.submits.size();
+            while (q.runningOn != null) {
+                if (k > 30 && failing) {
+                    late.add(q.runningOn);
                 }
-                house.end(q, bad && q.out.address().equals("e1") ? Outcome.ERROR : Outcome.FINISHED);
+                harness.end(q, failing && q.runningOn.address().equals("e1") ? Outcome.ERROR
+                        : Outcome.FINISHED);
             }
-            assertTrue(house.submits.size() - before <= 1);
+            assertTrue(harness.submits.size() - before <= 1);
         }
-        long back = house.submits.stream().skip(house.submits.size() - 40L)
+        long back = harness.submits.stream().skip(harness.submits.size() - 40L)
                 .filter(s -> s.engine().address().equals("e1")).count();
-        assertTrue(back > 4, "served again after its trouble: " + back);
+        assertTrue(back > 4, "submissions after its recovery: " + back);
     }
 
-    /** Whatever is suspected, half of the fleet at least goes on taking queries. */
+    /** Even if most engines fail, at least half of them keep getting queries. */
     @Example
-    void barsNeverShutMoreThanHalfOfTheFleet() {
-        ControlHarness house = calm(4, plain());
+    void atMostHalfOfTheEnginesAreEjected() {
+        ControlHarness harness = harnessWithWarmEngines(4, defaultDeployment());
         for (int k = 0; k < 400; k++) {
-            Held q = house.take(0, 0, 500, 50_000, null);
-            house.pass(200);
-            while (q.out != null) {
-                house.end(q, q.out.address().equals("e0") ? Outcome.FINISHED : Outcome.ERROR);
+            OpenQuery q = harness.accept(0, 0, 500, 50_000, null);
+            harness.advance(200);
+            while (q.runningOn != null) {
+                harness.end(q, q.runningOn.address().equals("e0") ? Outcome.FINISHED : Outcome.ERROR);
             }
         }
         Set<Id.Engine> used = new HashSet<>();
-        house.submits.subList(house.submits.size() - 60, house.submits.size())
+        harness.submits.subList(harness.submits.size() - 60, harness.submits.size())
                 .forEach(s -> used.add(s.engine()));
         assertTrue(used.size() >= 2, "used: " + used);
     }
 
     @Example
-    void aBadPlanIsStartedAfreshAndAnotherGroupIsNot() {
-        Deployment rules = ControlHarness.deployment(true, false, null, ControlHarness.SHORT, ControlHarness.LONG,
+    void aReadOnlyQueryWithABadPlanIsRestarted() {
+        Deployment rules = ControlHarness.deployment(true, false, null, ControlHarness.SHORT,
+                ControlHarness.LONG,
                 ControlHarness.group(10_000, 5, 1, Effect.MUTATING));
-        ControlHarness house = calm(2, rules);
-        Held bad = house.take(1, 0, 20_000, 150_000, null);
-        Held once = house.take(2, 0, 20_000, 150_000, null);
-        house.pass(2 * SECOND);
-        house.on(new Event.ShareDone(bad.taken.query(), new Id.Submission(0), 0.05, 0));
-        assertTrue(house.last.contains(new Action.Cancel(bad.taken.query(), new Id.Submission(0))));
-        house.on(new Event.ShareDone(once.taken.query(), new Id.Submission(0), 0.05, 0));
-        assertFalse(house.last.stream().anyMatch(a -> a instanceof Action.Cancel));
-        house.end(bad, Outcome.CANCELLED);
-        assertEquals(2, bad.submissions);
+        ControlHarness harness = harnessWithWarmEngines(2, rules);
+        OpenQuery restarted = harness.accept(1, 0, 20_000, 150_000, null);
+        OpenQuery mutating = harness.accept(2, 0, 20_000, 150_000, null);
+        harness.advance(2 * TICKS_PER_SECOND);
+        harness.on(new Event.ShareDone(restarted.event.query(), new Id.Submission(0), 0.05, 0));
+        assertTrue(harness.lastActions.contains(new Action.Cancel(restarted.event.query(),
+                new Id.Submission(0))));
+        harness.on(new Event.ShareDone(mutating.event.query(), new Id.Submission(0), 0.05, 0));
+        assertFalse(harness.lastActions.stream().anyMatch(a -> a instanceof Action.Cancel));
+        harness.end(restarted, Outcome.CANCELLED);
+        assertEquals(2, restarted.submissions);
     }
 
-    /** zwrotka-waw, i1ee9d1: work given up on that no cancel stops goes on filling its engine. */
+    /** Run zwrotka-waw, i1ee9d1: timed-out queries that can't be cancelled keep using their engine. */
     @Example
-    void timedOutWorkStillCountsWhereNothingStopsIt() {
-        assertTrue(sentAfterGivingUp(false) < sentAfterGivingUp(true));
+    void timedOutWorkStillCountsWithoutCancellation() {
+        assertTrue(sentAfterTimeouts(false) < sentAfterTimeouts(true));
     }
 
-    private static int sentAfterGivingUp(boolean cancelStops) {
-        ControlHarness house = calm(2, ControlHarness.deployment(cancelStops, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+    private static int sentAfterTimeouts(boolean cancelStops) {
+        ControlHarness harness = harnessWithWarmEngines(2,
+                ControlHarness.deployment(cancelStops, false, null, ControlHarness.SHORT,
+                ControlHarness.LONG));
         for (int k = 0; k < 8; k++) {
-            house.take(0, 0, 8000, 10_000, null);
+            harness.accept(0, 0, 8000, 10_000, null);
         }
-        house.pass(10_000);
-        int before = house.submits.size();
+        harness.advance(10_000);
+        int before = harness.submits.size();
         for (int k = 0; k < 40; k++) {
-            house.take(0, 0, 8000, 50_000, null);
+            harness.accept(0, 0, 8000, 50_000, null);
         }
-        return house.submits.size() - before;
+        return harness.submits.size() - before;
     }
 
-    /** zwrotka-waw, i5a06ed: long queries held nearly all threads, and short ones lost their targets. */
+    /** Run zwrotka-waw, i5a06ed: long queries used nearly all threads and short ones missed their targets. */
     @Example
-    void oneGroupLeavesOthersAPartOfTheBound() {
-        ControlHarness house = calm(4, plain());
-        List<Held> all = new ArrayList<>();
+    void oneGroupDoesNotUseTheWholeLimit() {
+        ControlHarness harness = harnessWithWarmEngines(4, defaultDeployment());
+        List<OpenQuery> all = new ArrayList<>();
         for (int k = 0; k < 20; k++) {
-            all.add(house.take(1, 0, 20_000, 150_000, null));
-            all.add(house.take(0, 0, 2000, 50_000, null));
+            all.add(harness.accept(1, 0, 20_000, 150_000, null));
+            all.add(harness.accept(0, 0, 2000, 50_000, null));
         }
-        long threads = all.stream().filter(q -> q.out != null && q.taken.group().index() == 1).count() * 4;
+        long threads = all.stream().filter(q -> q.runningOn != null && q.event.group().index() == 1).count()
+                * 4;
         assertTrue(threads <= 36 * 0.75 + 4, "threads of the long group: " + threads);
-        assertTrue(all.stream().filter(q -> q.out != null && q.taken.group().index() == 0).count() >= 4);
+        assertTrue(all.stream().filter(q -> q.runningOn != null
+                && q.event.group().index() == 0).count() >= 4);
     }
 
-    /** binh-duong-shared, i6938bd: answers lost on the way, on engines that answer the rest as usual. */
+    /** Run binh-duong-shared, i6938bd: answers were lost on engines that answered all other queries. */
     @Example
-    void aLostAnswerIsAskedForAgainElsewhere() {
-        ControlHarness house = calm(3, plain());
-        Held lost = house.take(0, 0, 2000, 50_000, null);
-        Id.Engine first = lost.out;
+    void aQueryWhoseAnswerIsLostRunsElsewhere() {
+        ControlHarness harness = harnessWithWarmEngines(3, defaultDeployment());
+        OpenQuery lost = harness.accept(0, 0, 2000, 50_000, null);
+        Id.Engine first = lost.runningOn;
         boolean cancelled = false;
         for (int k = 0; k < 100 && !cancelled; k++) {
-            Held other = house.take(0, 1, 500, 50_000, null);
-            house.pass(500);
-            cancelled = house.cancels.contains(lost.taken.query());
-            if (other.out != null) {
-                house.end(other, Outcome.FINISHED);
+            OpenQuery other = harness.accept(0, 1, 500, 50_000, null);
+            harness.advance(500);
+            cancelled = harness.cancelled.contains(lost.event.query());
+            if (other.runningOn != null) {
+                harness.end(other, Outcome.FINISHED);
             }
         }
         assertTrue(cancelled, "never cancelled");
-        house.end(lost, Outcome.CANCELLED);
-        assertTrue(lost.out != null && !lost.out.equals(first), "went to " + lost.out);
+        harness.end(lost, Outcome.CANCELLED);
+        assertTrue(lost.runningOn != null && !lost.runningOn.equals(first), "went to " + lost.runningOn);
     }
 
-    /** enfidha-main, ibce5aa: no long query fitted a cold engine by its own estimate. */
+    /** Run enfidha-main, ibce5aa: by their own estimates, no long query fitted into a cold engine. */
     @Example
-    void aColdEngineTakesALongQueryThatIsUsualForItsGroup() {
-        ControlHarness house = new ControlHarness(plain());
-        house.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, house.now));
-        house.pass(3 * SECOND);
-        Held q = house.take(1, 0, 20_000, 150_000, null);
-        house.pass(SECOND / 10);
+    void aColdEngineTakesALongQueryThatIsTypicalForItsGroup() {
+        ControlHarness harness = new ControlHarness(defaultDeployment());
+        harness.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
+        harness.advance(3 * TICKS_PER_SECOND);
+        OpenQuery q = harness.accept(1, 0, 20_000, 150_000, null);
+        harness.advance(TICKS_PER_SECOND / 10);
         assertEquals(1, q.submissions);
     }
 
-    private static Listing cold(ControlHarness house) {
+    private static Listing cold(ControlHarness harness) {
         return new Listing(new Id.Engine("cold"), new Id.Kind("m"), new Id.Zone("z0"), new Id.Cell(0),
-                Health.UP, house.now);
+                Health.UP, harness.now);
     }
 
-    /** join+mass: the gate was shut by what was out on warm engines, while new ones stood idle. */
+    /** Run join+mass: the limit was used up by queries on warm engines while new engines stood idle. */
     @Example
-    void aColdEngineTakesItsRationWhileTheGateToWarmOnesIsShut() {
-        ControlHarness house = calm(1, plain());
-        house.pass(5 * SECOND / 2);
-        Held last = null;
+    void aColdEngineIsUsedWhileTheLimitOnWarmOnesIsReached() {
+        ControlHarness harness = harnessWithWarmEngines(1, defaultDeployment());
+        harness.advance(5 * TICKS_PER_SECOND / 2);
+        OpenQuery last = null;
         for (int k = 0; k < 60; k++) {
-            last = house.take(0, 0, 2_000, 50_000, null);
+            last = harness.accept(0, 0, 2_000, 50_000, null);
         }
-        assertEquals(null, last.out, "the gate is shut");
-        int warm = house.submits.size();
-        house.list(Reading.CHANGES, cold(house));
-        house.pass(6 * SECOND / 10);
-        long atCold = house.submits.stream().filter(s -> s.engine().address().equals("cold")).count();
-        // 0.4 of 3 x 0.3 x 8 cores, half of it this front's, is 7 queries of 0.2 s a second.
-        assertTrue(atCold >= 4 && atCold <= 6, "its ration: " + atCold);
-        assertEquals(warm, house.submits.size() - atCold, "and the warm one its bound");
+        assertEquals(null, last.runningOn, "the limit is reached");
+        int warm = harness.submits.size();
+        harness.list(Reading.CHANGES, cold(harness));
+        harness.advance(6 * TICKS_PER_SECOND / 10);
+        long atCold = harness.submits.stream().filter(s -> s.engine().address().equals("cold")).count();
+        // 0.4 of 3 x 0.3 x 8 cores, half of it this front's, is 7 queries of 0.2 s per second.
+        assertTrue(atCold >= 4 && atCold <= 6, "submissions to the cold engine: " + atCold);
+        assertEquals(warm, harness.submits.size() - atCold, "the limit on the warm engine is unchanged");
     }
 
-    /** What a ration keeps off cold engines must not be put on the warm ones beside them. */
+    /** Load that the cold start rule keeps off cold engines must not go to the warm ones in addition. */
     @Example
-    void coldEnginesAddNothingToTheBoundOnWarmOnes() {
-        ControlHarness house = calm(1, plain());
-        house.list(Reading.CHANGES, cold(house));
+    void coldEnginesDoNotRaiseTheLimitOnWarmOnes() {
+        ControlHarness harness = harnessWithWarmEngines(1, defaultDeployment());
+        harness.list(Reading.CHANGES, cold(harness));
         for (int k = 0; k < 30; k++) {
-            house.take(0, 0, 2_000, 50_000, null);
+            harness.accept(0, 0, 2_000, 50_000, null);
         }
-        // 8 cores, half of them this front's, 2 threads a core, and one long query's 4
-        assertEquals(12, house.submits.size());
+        // 8 cores, half of them this front's, 2 threads per core, and the 4 threads of one long query
+        assertEquals(12, harness.submits.size());
     }
 
-    /** A front that has just started can't know what it sent to a cold engine before. */
+    /** A front that has just started does not know what it sent to a cold engine before. */
     @Example
-    void aFrontJustStartedSendsNothingToAColdEngineForAWindow() {
-        ControlHarness house = new ControlHarness(ControlHarness.deployment(true, false, null,
+    void aNewFrontSendsNothingToAColdEngineForOneWindow() {
+        ControlHarness harness = new ControlHarness(ControlHarness.deployment(true, false, null,
                 ControlHarness.group(40_000, 1, 1, Effect.READ_ONLY)));
-        house.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, house.now));
-        Held q = house.take(0, 0, 2000, 150_000, null);
-        house.pass(2 * SECOND - 500);
+        harness.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
+        OpenQuery q = harness.accept(0, 0, 2000, 150_000, null);
+        harness.advance(2 * TICKS_PER_SECOND - 500);
         assertEquals(0, q.submissions);
-        house.pass(SECOND);
+        harness.advance(TICKS_PER_SECOND);
         assertEquals(1, q.submissions);
     }
 
-    /** An engine slow against its peers keeps less, and all slow together changes nothing between them. */
+    /** An engine that is slower than the others gets fewer queries. */
     @Example
     void aSlowEngineGetsLessThanItsPeers() {
-        ControlHarness house = calm(3, plain());
-        List<Held> slow = new ArrayList<>();
+        ControlHarness harness = harnessWithWarmEngines(3, defaultDeployment());
+        List<OpenQuery> slow = new ArrayList<>();
         for (int k = 0; k < 300; k++) {
-            Held q = house.take(0, 0, 1000, 50_000, null);
-            house.pass(100);
-            if (q.out != null && q.out.address().equals("e2")) {
+            OpenQuery q = harness.accept(0, 0, 1000, 50_000, null);
+            harness.advance(100);
+            if (q.runningOn != null && q.runningOn.address().equals("e2")) {
                 slow.add(q);
-            } else if (q.out != null) {
-                house.end(q, Outcome.FINISHED);
+            } else if (q.runningOn != null) {
+                harness.end(q, Outcome.FINISHED);
             }
             slow.removeIf(held -> {
-                boolean due = held.out != null && house.now - held.sentAt >= 4000;
+                boolean due = held.runningOn != null && harness.now - held.sentAt >= 4000;
                 if (due) {
-                    house.end(held, Outcome.FINISHED);
+                    harness.end(held, Outcome.FINISHED);
                 }
                 return due;
             });
         }
-        long got = house.submits.stream().filter(s -> s.engine().address().equals("e2")).count();
-        assertTrue(got < house.submits.size() / 5, "of " + house.submits.size() + ": " + got);
+        long got = harness.submits.stream().filter(s -> s.engine().address().equals("e2")).count();
+        assertTrue(got < harness.submits.size() / 5,
+                "submissions to the slow engine, of " + harness.submits.size() + ": " + got);
     }
 
     @Example
-    void aTokenedQueryIsNotSentAgainOnceItsRepeatsAreForgotten() {
+    void aTokenedQueryIsNotRepeatedOnceEnginesForgotIt() {
         Deployment.ResourceGroup tokened = new Deployment.ResourceGroup(80_000, 2, 1, 0, 1, Effect.TOKENED,
-                Deployment.Recognised.ALL, 2 * SECOND, false, null, null);
-        ControlHarness house = calm(2, ControlHarness.deployment(true, false, null, tokened));
-        Held early = house.take(0, 0, 2000, 150_000, null);
-        Held late = house.take(0, 0, 2000, 150_000, null);
-        house.pass(SECOND);
-        house.end(early, Outcome.ERROR);
+                Deployment.Recognised.ALL, 2 * TICKS_PER_SECOND, false, null, null);
+        ControlHarness harness = harnessWithWarmEngines(2,
+                ControlHarness.deployment(true, false, null, tokened));
+        OpenQuery early = harness.accept(0, 0, 2000, 150_000, null);
+        OpenQuery late = harness.accept(0, 0, 2000, 150_000, null);
+        harness.advance(TICKS_PER_SECOND);
+        harness.end(early, Outcome.ERROR);
         assertEquals(2, early.submissions);
-        house.pass(2 * SECOND);
-        house.end(late, Outcome.ERROR);
+        harness.advance(2 * TICKS_PER_SECOND);
+        harness.end(late, Outcome.ERROR);
         assertEquals(1, late.submissions);
         assertTrue(late.answered);
     }
 
-    /** binh-duong-later, i59e677: cold engines stood unused for all of their ramp at 218 fronts. */
+    /** Run binh-duong-later, i59e677: with 218 fronts, cold engines got no queries during their ramp. */
     @Example
-    void hundredsOfFrontsBringAColdEngineBackAndNeverPushItOver() {
-        Deployment rules = ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG);
+    void hundredsOfFrontsUseAColdEngineWithoutOverloadingIt() {
+        Deployment rules = ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT,
+                ControlHarness.LONG);
         List<ControlHarness> fronts = new ArrayList<>();
         for (int k = 0; k < 300; k++) {
-            ControlHarness house = new ControlHarness(rules, k);
-            house.pass(3 * SECOND);
-            house.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, house.now));
-            fronts.add(house);
+            ControlHarness harness = new ControlHarness(rules, k);
+            harness.advance(3 * TICKS_PER_SECOND);
+            harness.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
+            fronts.add(harness);
         }
         long[] inWindow = new long[40];
-        for (ControlHarness house : fronts) {
-            long start = house.now;
+        for (ControlHarness harness : fronts) {
+            long start = harness.now;
             for (int step = 0; step < 40; step++) {
-                int before = house.submits.size();
-                house.take(0, 0, 3000, 150_000, null);
-                house.pass(2000);
-                inWindow[step] += house.submits.size() - before;
-                house.held.values().stream().filter(q -> q.out != null).toList()
-                        .forEach(q -> house.end(q, Outcome.FINISHED));
+                int before = harness.submits.size();
+                harness.accept(0, 0, 3000, 150_000, null);
+                harness.advance(2000);
+                inWindow[step] += harness.submits.size() - before;
+                harness.openQueries.values().stream().filter(q -> q.runningOn != null).toList()
+                        .forEach(q -> harness.end(q, Outcome.FINISHED));
             }
-            assertEquals(start + 8 * SECOND, house.now);
+            assertEquals(start + 8 * TICKS_PER_SECOND, harness.now);
         }
         // Windows of 2 s are ten steps of 0.2 s; 3 x 0.3 x 8 cores for 2 s are 14.4 s of work, 48 queries.
         long all = 0;
         for (int step = 9; step < 40; step++) {
             long sum = java.util.Arrays.stream(inWindow, step - 9, step + 1).sum();
             all += sum;
-            assertTrue(sum <= 48, "sent in two seconds: " + sum);
+            assertTrue(sum <= 48, "submissions in two seconds: " + sum);
         }
-        assertTrue(all > 31 * 5, "used while cold: " + all / 31);
+        assertTrue(all > 31 * 5, "submissions per window while cold: " + all / 31);
     }
 
-    /** enfidha-main-later, i702ee9: a share under one long query was never passed, on calm engines. */
+    /** Run enfidha-main-later, i702ee9: a share of less than one long query left engines idle. */
     @Example
-    void whatStoodUnusedOfASmallShareIsUsedLaterAndNoMore() {
-        ControlHarness house = calm(4, ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
-        house.pass(10 * SECOND);
-        List<Held> early = new ArrayList<>();
+    void unusedCapacityOfASmallShareIsCreditedUpToALimit() {
+        ControlHarness harness = harnessWithWarmEngines(4,
+                ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+        harness.advance(10 * TICKS_PER_SECOND);
+        List<OpenQuery> early = new ArrayList<>();
         for (int k = 0; k < 3; k++) {
-            early.add(house.take(1, 0, 20_000, 150_000, null));
+            early.add(harness.accept(1, 0, 20_000, 150_000, null));
         }
-        assertTrue(early.stream().filter(q -> q.out != null).count() > 1, "one at a time on idle engines");
+        assertTrue(early.stream().filter(q -> q.runningOn != null).count() > 1,
+                "only one at a time on idle engines");
         for (int k = 0; k < 100; k++) {
-            house.take(1, 0, 20_000, 150_000, null);
+            harness.accept(1, 0, 20_000, 150_000, null);
         }
-        long out = house.held.values().stream().filter(q -> q.out != null).count();
-        assertTrue(out <= 6, "far over the share: " + out);
+        long running = harness.openQueries.values().stream().filter(q -> q.runningOn != null).count();
+        assertTrue(running <= 6, "running beyond the share: " + running);
     }
 
-    /** A front on half a core that stood still for its own sake felt a slow fleet and shrank its bound. */
+    /** A front on half a core attributed its own stalls to the engines and reduced its limit. */
     @Example
-    void theFrontsOwnLagIsNoStretch() {
+    void theFrontsOwnLagIsNotCountedAsSlowdown() {
         int calm = sentAfter(0, 0);
         assertEquals(calm, sentAfter(4_000, 4_000));
-        assertTrue(sentAfter(4_000, 0) < calm, "a slow fleet still counts");
-        assertTrue(sentAfter(4_000, 1_000) < calm, "as does what the lag does not account for");
+        assertTrue(sentAfter(4_000, 0) < calm, "slow engines still count");
+        assertTrue(sentAfter(4_000, 1_000) < calm, "so does the part that the lag does not explain");
     }
 
-    private static int sentAfter(long longer, long unseen) {
-        ControlHarness house = calm(2, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+    private static int sentAfter(long stall, long arrivalUncertainty) {
+        ControlHarness harness = harnessWithWarmEngines(2,
+                ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         for (int k = 0; k < 60; k++) {
-            Held q = house.take(0, 1, 1000, 50_000, null);
-            house.pass(1_000);
-            // No timer runs while the process stands still.
-            house.now += longer;
-            house.unseen = unseen;
-            if (q.out != null) {
-                house.end(q, Outcome.FINISHED);
+            OpenQuery q = harness.accept(0, 1, 1000, 50_000, null);
+            harness.advance(1_000);
+            // No timers run while the process is stalled.
+            harness.now += stall;
+            harness.arrivalUncertainty = arrivalUncertainty;
+            if (q.runningOn != null) {
+                harness.end(q, Outcome.FINISHED);
             }
         }
-        int before = house.submits.size();
+        int before = harness.submits.size();
         for (int k = 0; k < 60; k++) {
-            house.take(0, 1, 9000, 150_000, null);
+            harness.accept(0, 1, 9000, 150_000, null);
         }
-        return house.submits.size() - before;
+        return harness.submits.size() - before;
     }
 
-    /** enfidha-main-later, big-2: with few answers a second a front heard of an overload too late. */
+    /** Run enfidha-main-later, big-2: with few answers per second a front noticed an overload too late. */
     @Example
-    void notesOfSlowRunsShrinkTheBoundBeforeTheirAnswersCome() {
+    void progressReportsOfSlowRunsReduceTheLimit() {
         assertTrue(sentBesideSlowRuns(0.02) < sentBesideSlowRuns(1));
     }
 
-    private static int sentBesideSlowRuns(double pace) {
-        ControlHarness house = calm(2, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+    private static int sentBesideSlowRuns(double progressPerReport) {
+        ControlHarness harness = harnessWithWarmEngines(2,
+                ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         for (int k = 0; k < 3; k++) {
-            house.take(1, 0, 60_000, 150_000, null);
+            harness.accept(1, 0, 60_000, 150_000, null);
         }
-        for (int note = 1; note <= 10; note++) {
-            house.pass(1000);
-            for (Held q : List.copyOf(house.held.values())) {
-                house.on(new Event.ShareDone(q.taken.query(), new Id.Submission(0), note * pace / 15, 0));
+        for (int report = 1; report <= 10; report++) {
+            harness.advance(1000);
+            for (OpenQuery q : List.copyOf(harness.openQueries.values())) {
+                harness.on(new Event.ShareDone(q.event.query(), new Id.Submission(0),
+                        report * progressPerReport / 15, 0));
             }
         }
-        int before = house.submits.size();
+        int before = harness.submits.size();
         for (int k = 0; k < 60; k++) {
-            house.take(0, 1, 9000, 150_000, null);
+            harness.accept(0, 1, 9000, 150_000, null);
         }
-        return house.submits.size() - before;
+        return harness.submits.size() - before;
     }
 
-    /** A list that shrinks to one engine at once, and one that is empty, at any number of fronts. */
+    /** The list shrinks to one engine at once and then to none, with one front and with many. */
     @Example
-    void aListThatShrinksAtOnceIsFollowed() {
+    void aListThatShrinksToOneEngineOrNoneIsFollowed() {
         for (int fronts : new int[] {1, 300}) {
-            ControlHarness house = calm(40, ControlHarness.deployment(fronts, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
-            house.list(Reading.COMPLETE, new Listing(new Id.Engine("e3"), new Id.Kind("m"),
+            ControlHarness harness = harnessWithWarmEngines(40,
+                    ControlHarness.deployment(fronts, true, false, null, ControlHarness.SHORT,
+                    ControlHarness.LONG));
+            harness.list(Reading.COMPLETE, new Listing(new Id.Engine("e3"), new Id.Kind("m"),
                     new Id.Zone("z1"), new Id.Cell(0), Health.UP, 0));
-            Held q = house.take(1, 0, 20_000, 150_000, null);
-            assertEquals("e3", q.out.address());
-            house.list(Reading.COMPLETE);
-            Held late = house.take(0, 0, 2000, 50_000, null);
-            house.pass(4 * SECOND);
+            OpenQuery q = harness.accept(1, 0, 20_000, 150_000, null);
+            assertEquals("e3", q.runningOn.address());
+            harness.list(Reading.COMPLETE);
+            OpenQuery late = harness.accept(0, 0, 2000, 50_000, null);
+            harness.advance(4 * TICKS_PER_SECOND);
             assertTrue(late.answered && late.submissions == 0);
         }
     }
 
-    /** zwrotka-waw-later, i478719: lost answers held the bound where no cancel frees them. */
+    /** Run zwrotka-waw-later, i478719: without cancellation, lost answers used up the limit. */
     @Example
-    void runsWhoseNotesStoppedNoLongerHoldTheGate() {
-        ControlHarness house = calm(2, ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+    void stalledRunsDoNotUseUpTheLimit() {
+        ControlHarness harness = harnessWithWarmEngines(2,
+                ControlHarness.deployment(false, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         for (int k = 0; k < 300; k++) {
-            Held q = house.take(0, 0, 500, 150_000, null);
-            house.pass(500);
-            assertTrue(q.out != null, "the gate is shut by what was lost, after " + k);
+            OpenQuery q = harness.accept(0, 0, 500, 150_000, null);
+            harness.advance(500);
+            assertTrue(q.runningOn != null, "lost answers have used up the limit, after " + k);
             if (k % 8 > 0) {
-                house.end(q, Outcome.FINISHED);
+                harness.end(q, Outcome.FINISHED);
             }
         }
     }
 
-    /** binh-duong-later, icfc51e: with many engines dead and few queries nearly each query was a trial. */
+    /** Run binh-duong-later, icfc51e: with many failed engines and few queries, most became probes. */
     @Example
-    void fewQueriesAreNotAllGivenToTrials() {
-        ControlHarness house = calm(8, ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
+    void fewQueriesAreNotAllUsedAsProbes() {
+        ControlHarness harness = harnessWithWarmEngines(8,
+                ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
         int failed = 0;
         for (int k = 0; k < 200; k++) {
-            house.pass(4500);
-            Held q = house.take(0, 0, 500, 50_000, null);
-            house.pass(500);
-            while (q.out != null) {
-                boolean dead = Integer.parseInt(q.out.address().substring(1)) < 4;
+            harness.advance(4500);
+            OpenQuery q = harness.accept(0, 0, 500, 50_000, null);
+            harness.advance(500);
+            while (q.runningOn != null) {
+                boolean dead = Integer.parseInt(q.runningOn.address().substring(1)) < 4;
                 failed += dead && k >= 40 ? 1 : 0;
-                house.end(q, dead ? Outcome.UNREACHABLE : Outcome.FINISHED);
+                harness.end(q, dead ? Outcome.UNREACHABLE : Outcome.FINISHED);
             }
         }
-        assertTrue(failed > 0 && failed <= 160 / 8 + 1, "trials: " + failed);
+        assertTrue(failed > 0 && failed <= 160 / 8 + 1, "probes: " + failed);
     }
 }
--- a/src/test/java/reedspring/DecisionsTest.java
+++ b/src/test/java/reedspring/DecisionsTest.java
@@ -34,57 +34,57 @@
 import reedspring.api.Load;
 
 /**
- * What is meant to change no decision changes none: seeded runs of {@link Control}, of which each action goes
- * into a log, and the log's hash has to be the one that was kept. ControlTest checks that decisions are
- * right, this that they are the same.
+ * Guards against unintended changes of decisions: logs all actions of seeded runs of {@link Control} and
+ * compares the hash of each log with the kept one. ControlTest checks that decisions are correct, this test
+ * that they are unchanged.
  *
- * <p>The first action that differs: run both builds with {@code -Ddecisions.run="12 60 3"} (the words that
- * the failure names: fronts, engines, seed), and compare the two logs, {@code target/decisions-12-60-3.log}.
- * Where decisions change on purpose, this makes the kept hashes anew, and the commit says why:
+ * <p>To find the first action that differs, run both builds with {@code -Ddecisions.run="12 60 3"} (fronts,
+ * engines and seed as in the failure message) and compare the logs, {@code target/decisions-12-60-3.log}.
+ * After an intended change, update the kept hashes and give the reason in the commit:
  * {@code mvn -q -o test -Dtest=DecisionsTest -Ddecisions.keep=true}
  */
 class DecisionsTest {
-    private static final Path KEPT = Path.of("src/test/resources/reedspring/decisions.txt");
-    private static final long SECOND = 10_000;
+    private static final Path EXPECTED_FILE = Path.of("src/test/resources/reedspring/decisions.txt");
+    private static final long TICKS_PER_SECOND = 10_000;
     private static final int SEEDS = 6;
     private static final int STEPS = 1_500;
 
     @Example
-    void eachDecisionIsTheOneThatWasKept() throws IOException {
-        List<String> made = new ArrayList<>();
+    void decisionsMatchTheKeptHashes() throws IOException {
+        List<String> actual = new ArrayList<>();
         for (int fronts : new int[] {1, 3, 12, 100}) {
             for (int engines : new int[] {5, 12, 60}) {
                 for (int seed = 0; seed < SEEDS; seed++) {
-                    made.add(run(fronts, engines, seed));
+                    actual.add(run(fronts, engines, seed));
                 }
             }
         }
         if (Boolean.getBoolean("decisions.keep")) {
-            Files.createDirectories(KEPT.getParent());
-            Files.write(KEPT, made);
+            Files.createDirectories(EXPECTED_FILE.getParent());
+            Files.write(EXPECTED_FILE, actual);
         }
-        List<String> kept = Files.readAllLines(KEPT);
-        for (int k = 0; k < made.size(); k++) {
-            String words = made.get(k).replaceFirst(" actions .*", "");
-            assertEquals(kept.get(k), made.get(k), "other decisions than those kept; for the log:"
+        List<String> expected = Files.readAllLines(EXPECTED_FILE);
+        for (int k = 0; k < actual.size(); k++) {
+            String words = actual.get(k).replaceFirst(" actions .*", "");
+            assertEquals(expected.get(k), actual.get(k), "decisions differ from the kept ones; for the log:"
                     + " -Ddecisions.run=\"" + words + "\"");
         }
-        assertEquals(kept.size(), made.size());
+        assertEquals(expected.size(), actual.size());
     }
 
-    /** A run that decides little shows little. */
+    /** The comparison is only useful if the runs contain every kind of action. */
     @Example
-    void theRunsHoldWhatDecisionsAreMadeOf() throws IOException {
-        String all = IntStream.range(0, SEEDS).mapToObj(seed -> new Run(12, 12, seed).log())
+    void theRunsCoverAllKindsOfAction() throws IOException {
+        String all = IntStream.range(0, SEEDS).mapToObj(seed -> new SimulatedRun(12, 12, seed).log())
                 .collect(Collectors.joining());
         for (String word : List.of(" submit ", " priority ", " cancel ", " defer ", " kill ", " wake ",
                 " follow", ", barred", " is back", "is sent less", "is sent its share again")) {
-            assertEquals(true, all.contains(word), "no run has '" + word + "'");
+            assertEquals(true, all.contains(word), "no run contains '" + word + "'");
         }
     }
 
     private static String run(int fronts, int engines, int seed) throws IOException {
-        String log = new Run(fronts, engines, seed).log();
+        String log = new SimulatedRun(fronts, engines, seed).log();
         String words = fronts + " " + engines + " " + seed;
         if (words.equals(System.getProperty("decisions.run"))) {
             Files.writeString(Path.of("target/decisions-" + words.replace(' ', '-') + ".log"), log);
@@ -97,28 +97,28 @@
         }
     }
 
-    /** One Control, with clients, engines and discovery that do what chance says and heed its actions. */
-    private static final class Run {
-        private final SplittableRandom chance;
-        private final Deployment rules;
+    /** Runs one Control with random but reproducible clients, engines and discovery. */
+    private static final class SimulatedRun {
+        private final SplittableRandom random;
+        private final Deployment deployment;
         private final int fronts;
         private final long seed;
         private final StringBuilder log = new StringBuilder();
-        private final Map<Long, Open> open = new LinkedHashMap<>();
+        private final Map<Long, OpenQuery> openQueries = new LinkedHashMap<>();
         private final List<long[]> timers = new ArrayList<>();
         private final List<Listing> list = new ArrayList<>();
-        private final Map<Id.Engine, Double> slow = new HashMap<>();
-        private final double trouble;
-        private final double pressure;
+        private final Map<Id.Engine, Double> slowdown = new HashMap<>();
+        private final double errorRate;
+        private final double loadRatio;
         private Control control;
         private long now = 3_000_000;
-        private long ids;
-        private int names;
+        private long lastId;
+        private int engineCount;
 
-        /** A query as its client and its engine know it. */
-        private static final class Open {
-            private Event.Taken taken;
-            private Id.Engine out;
+        /** A query as its client and its engine see it. */
+        private static final class OpenQuery {
+            private Event.Taken event;
+            private Id.Engine runningOn;
             private int submissions;
             private long sentAt;
             private long endsAt;
@@ -126,30 +126,30 @@
             private boolean cancelled;
         }
 
-        Run(int fronts, int engines, long seed) {
+        SimulatedRun(int fronts, int engines, long seed) {
             this.fronts = fronts;
             this.seed = seed;
-            chance = new SplittableRandom(seed * 1_000_003 + fronts * 1_009 + engines);
-            rules = draw();
-            trouble = chance.nextInt(3) == 0 ? 0.3 * chance.nextDouble() : 0.03;
-            pressure = 0.4 + 1.2 * chance.nextDouble();
+            random = new SplittableRandom(seed * 1_000_003 + fronts * 1_009 + engines);
+            deployment = draw();
+            errorRate = random.nextInt(3) == 0 ? 0.3 * random.nextDouble() : 0.03;
+            loadRatio = 0.4 + 1.2 * random.nextDouble();
             start();
             for (int k = 0; k < engines; k++) {
-                list.add(fresh(chance.nextInt(8) == 0 ? now - chance.nextInt(60_000) : 0));
+                list.add(newEngine(random.nextInt(8) == 0 ? now - random.nextInt(60_000) : 0));
             }
-            listed(Reading.REMEMBERED, list);
+            sendList(Reading.REMEMBERED, list);
             double cores = 8.0 * engines / fronts;
             for (int step = 0; step < STEPS; step++) {
-                // As many queries as the front's part of the fleet runs at that pressure, 0.4 s each.
-                pass(1 + (long) (chance.nextDouble() * 2 * 4_000 / Math.max(4, cores * pressure)));
+                // As many queries as the front's share of the engines runs at that load, 0.4 s each.
+                advance(1 + (long) (random.nextDouble() * 2 * 4_000 / Math.max(4, cores * loadRatio)));
                 step(step);
             }
-            on(new Event.Leaving(now + 2 * SECOND));
+            on(new Event.Leaving(now + 2 * TICKS_PER_SECOND));
             for (int step = 0; step < 30; step++) {
-                pass(1 + chance.nextInt(1_000));
-                take();
+                advance(1 + random.nextInt(1_000));
+                accept();
             }
-            pass(10 * SECOND);
+            advance(10 * TICKS_PER_SECOND);
         }
 
         String log() {
@@ -157,121 +157,122 @@
         }
 
         private void start() {
-            open.clear();
+            openQueries.clear();
             timers.clear();
-            control = new Control(seed, rules, now, this::act);
+            control = new Control(seed, deployment, now, this::handle);
         }
 
         private void step(int step) {
-            int what = chance.nextInt(100);
-            if (what < 78) {
-                for (int burst = chance.nextInt(100) == 0 ? 30 : 1; burst > 0; burst--) {
-                    take();
+            int choice = random.nextInt(100);
+            if (choice < 78) {
+                for (int burst = random.nextInt(100) == 0 ? 30 : 1; burst > 0; burst--) {
+                    accept();
                 }
-            } else if (what < 84) {
-                draw(open.values().stream().filter(q -> q.out != null).toList()).forEach(q -> {
-                    if (chance.nextInt(6) == 0) {
-                        on(new Event.StreamBegan(q.taken.query(), new Id.Submission(q.submissions - 1)));
+            } else if (choice < 84) {
+                draw(openQueries.values().stream().filter(q -> q.runningOn != null).toList()).forEach(q -> {
+                    if (random.nextInt(6) == 0) {
+                        on(new Event.StreamBegan(q.event.query(), new Id.Submission(q.submissions - 1)));
                     } else {
-                        on(new Event.ShareDone(q.taken.query(), new Id.Submission(q.submissions - 1),
-                                chance.nextDouble() * (chance.nextInt(3) == 0 ? 0.1 : 1),
-                                chance.nextInt(3) * 500));
+                        on(new Event.ShareDone(q.event.query(), new Id.Submission(q.submissions - 1),
+                                random.nextDouble() * (random.nextInt(3) == 0 ? 0.1 : 1),
+                                random.nextInt(3) * 500));
                     }
                 });
-            } else if (what < 88) {
-                draw(List.copyOf(list)).forEach(to -> on(new Event.LoadReported(to.engine(),
-                        new Load(chance.nextInt(3) == 0 ? Double.NaN : chance.nextDouble(),
-                                chance.nextDouble(), Double.NaN, chance.nextInt(30), chance.nextInt(9)))));
-            } else if (what < 90) {
-                draw(open.values().stream().filter(q -> !q.answered).toList()).forEach(q -> {
+            } else if (choice < 88) {
+                draw(List.copyOf(list)).forEach(listing -> on(new Event.LoadReported(listing.engine(),
+                        new Load(random.nextInt(3) == 0 ? Double.NaN : random.nextDouble(),
+                                random.nextDouble(), Double.NaN, random.nextInt(30), random.nextInt(9)))));
+            } else if (choice < 90) {
+                draw(openQueries.values().stream().filter(q -> !q.answered).toList()).forEach(q -> {
                     q.answered = true;
-                    on(new Event.Left(q.taken.query()));
-                    forget(q);
+                    on(new Event.Left(q.event.query()));
+                    removeIfClosed(q);
                 });
-            } else if (what < 97) {
-                lists(step);
-            } else if (what == 97) {
+            } else if (choice < 97) {
+                changeList(step);
+            } else if (choice == 97) {
                 on(new Event.ListUnavailable());
-            } else if (what == 98 && chance.nextInt(8) == 0) {
+            } else if (choice == 98 && random.nextInt(8) == 0) {
                 start();
-                listed(Reading.REMEMBERED, list);
+                sendList(Reading.REMEMBERED, list);
             } else {
-                draw(List.copyOf(list)).forEach(e -> slow.put(e.engine(), chance.nextInt(3) == 0
-                        ? 1 : 1 + 4 * chance.nextDouble()));
+                draw(List.copyOf(list)).forEach(e -> slowdown.put(e.engine(), random.nextInt(3) == 0
+                        ? 1 : 1 + 4 * random.nextDouble()));
             }
         }
 
-        private void take() {
-            int group = Math.min(rules.groups().size() - 1, chance.nextInt(6));
-            Open q = new Open();
-            long work = 500 + (long) (3_500 * -Math.log(1 - chance.nextDouble()));
-            q.taken = new Event.Taken(new Id.Query(++ids), new Id.Group(group),
-                    chance.nextInt(12) == 0 ? Id.Tenant.NOBODY : new Id.Tenant(chance.nextInt(2)),
-                    new Id.DataSet(ids % 7), chance.nextInt(5) == 0 ? 0 : work,
-                    chance.nextInt(50) == 0 ? 6_000 : work / 30.0, now + 2_000 + chance.nextInt(40_000),
-                    chance.nextInt(4) == 0 ? new Id.OrderKey("k" + chance.nextInt(5)) : null);
-            open.put(ids, q);
-            on(q.taken);
+        private void accept() {
+            int group = Math.min(deployment.groups().size() - 1, random.nextInt(6));
+            OpenQuery q = new OpenQuery();
+            long work = 500 + (long) (3_500 * -Math.log(1 - random.nextDouble()));
+            q.event = new Event.Taken(new Id.Query(++lastId), new Id.Group(group),
+                    random.nextInt(12) == 0 ? Id.Tenant.NOBODY : new Id.Tenant(random.nextInt(2)),
+                    new Id.DataSet(lastId % 7), random.nextInt(5) == 0 ? 0 : work,
+                    random.nextInt(50) == 0 ? 6_000 : work / 30.0, now + 2_000 + random.nextInt(40_000),
+                    random.nextInt(4) == 0 ? new Id.OrderKey("k" + random.nextInt(5)) : null);
+            openQueries.put(lastId, q);
+            on(q.event);
         }
 
-        /** Changes, whole lists, engines that drain, go, come back as they were or anew, or are replaced. */
-        private void lists(int step) {
+        /** Sends changes or a complete list: engines drain, leave, return, restart or are replaced. */
+        private void changeList(int step) {
             List<Listing> changes = new ArrayList<>();
-            int what = chance.nextInt(12);
-            int many = what == 11 ? list.size() / 2 : 1 + chance.nextInt(2);
-            for (int k = 0; k < many && list.size() > 1; k++) {
-                int at = chance.nextInt(list.size());
-                Listing before = list.get(at);
-                switch (what) {
+            int choice = random.nextInt(12);
+            int count = choice == 11 ? list.size() / 2 : 1 + random.nextInt(2);
+            for (int k = 0; k < count && list.size() > 1; k++) {
+                int index = random.nextInt(list.size());
+                Listing before = list.get(index);
+                switch (choice) {
                     case 0, 1 -> changes.add(with(before, Health.DRAINING, before.startedAt()));
                     case 2 -> changes.add(with(before, Health.GONE, before.startedAt()));
                     case 3, 4 -> changes.add(with(before, Health.UP, now));
                     case 5 -> {
                         changes.add(with(before, Health.GONE, before.startedAt()));
-                        Listing next = fresh(now);
-                        list.set(at, next);
+                        Listing next = newEngine(now);
+                        list.set(index, next);
                         changes.add(next);
                         continue;
                     }
                     case 6 -> changes.add(new Listing(before.engine(), kind(), before.zone(),
-                            new Id.Cell(chance.nextInt(3)), Health.UP, before.startedAt()));
+                            new Id.Cell(random.nextInt(3)), Health.UP, before.startedAt()));
                     case 11 -> {
-                        list.set(at, fresh(chance.nextBoolean() ? 0 : now));
+                        list.set(index, newEngine(random.nextBoolean() ? 0 : now));
                         continue;
                     }
                     default -> changes.add(with(before, Health.UP, before.startedAt()));
                 }
-                list.set(at, changes.get(changes.size() - 1));
+                list.set(index, changes.get(changes.size() - 1));
             }
-            if (step % 3 == 0 && what > 8) {
-                // in the order of another service, and at times with a row that is named twice
-                List<Listing> whole = new ArrayList<>(list);
-                for (int k = whole.size() - 1; k > 0; k--) {
-                    whole.set(k, whole.set(chance.nextInt(k + 1), whole.get(k)));
+            if (step % 3 == 0 && choice > 8) {
+                // in another order, and sometimes with a duplicate entry
+                List<Listing> shuffled = new ArrayList<>(list);
+                for (int k = shuffled.size() - 1; k > 0; k--) {
+                    shuffled.set(k, shuffled.set(random.nextInt(k + 1), shuffled.get(k)));
                 }
-                if (chance.nextInt(3) == 0) {
-                    whole.add(with(whole.get(0), Health.DRAINING, 0));
+                if (random.nextInt(3) == 0) {
+                    shuffled.add(with(shuffled.get(0), Health.DRAINING, 0));
                 }
-                listed(Reading.COMPLETE, whole);
-            } else if (what == 11) {
-                listed(Reading.COMPLETE, list);
+                sendList(Reading.COMPLETE, shuffled);
+            } else if (choice == 11) {
+                sendList(Reading.COMPLETE, list);
             } else {
-                listed(Reading.CHANGES, changes);
+                sendList(Reading.CHANGES, changes);
             }
         }
 
-        private void listed(Reading reading, List<Listing> rows) {
+        private void sendList(Reading reading, List<Listing> rows) {
             on(new Event.EnginesListed(reading, List.copyOf(rows)));
         }
 
-        private Listing fresh(long startedAt) {
-            return new Listing(new Id.Engine("10.0." + names / 250 + "." + names++ % 250 + ":5050"), kind(),
-                    new Id.Zone("z" + chance.nextInt(3)), new Id.Cell(chance.nextInt(3)), Health.UP,
+        private Listing newEngine(long startedAt) {
+            return new Listing(
+                    new Id.Engine("10.0." + engineCount / 250 + "." + engineCount++ % 250 + ":5050"), kind(),
+                    new Id.Zone("z" + random.nextInt(3)), new Id.Cell(random.nextInt(3)), Health.UP,
                     startedAt);
         }
 
         private Id.Kind kind() {
-            return new Id.Kind(new String[] {"m", "m", "m", "s", "l", "odd"}[chance.nextInt(6)]);
+            return new Id.Kind(new String[] {"m", "m", "m", "s", "l", "odd"}[random.nextInt(6)]);
         }
 
         private static Listing with(Listing before, Health health, long startedAt) {
@@ -279,19 +280,19 @@
                     startedAt);
         }
 
-        /** One of them, or none if there is none. */
+        /** A list of one random element, empty if there is none. */
         private <T> List<T> draw(List<T> all) {
-            return all.isEmpty() ? all : List.of(all.get(chance.nextInt(all.size())));
+            return all.isEmpty() ? all : List.of(all.get(random.nextInt(all.size())));
         }
 
-        private void pass(long span) {
-            for (long end = now + span; now < end; ) {
+        private void advance(long ticks) {
+            for (long end = now + ticks; now < end; ) {
                 long next = end;
                 for (long[] timer : timers) {
                     next = Math.min(next, timer[0]);
                 }
-                for (Open q : open.values()) {
-                    next = Math.min(next, q.out != null ? q.endsAt : end);
+                for (OpenQuery q : openQueries.values()) {
+                    next = Math.min(next, q.runningOn != null ? q.endsAt : end);
                 }
                 now = Math.max(now, next);
                 for (long[] timer : List.copyOf(timers)) {
@@ -300,52 +301,52 @@
                         on(new Event.Woken(new Id.Timer(timer[1])));
                     }
                 }
-                for (Open q : List.copyOf(open.values())) {
-                    if (q.out != null && now >= q.endsAt) {
+                for (OpenQuery q : List.copyOf(openQueries.values())) {
+                    if (q.runningOn != null && now >= q.endsAt) {
                         end(q);
                     }
                 }
             }
         }
 
-        private void end(Open q) {
+        private void end(OpenQuery q) {
             Outcome outcome = q.cancelled ? Outcome.CANCELLED
-                    : now >= q.taken.clientDeadline() ? Outcome.TIMED_OUT
-                    : chance.nextDouble() > trouble ? Outcome.FINISHED
-                    : Outcome.values()[chance.nextInt(Outcome.values().length)];
-            q.out = null;
-            boolean over = q.answered || outcome == Outcome.FINISHED;
+                    : now >= q.event.clientDeadline() ? Outcome.TIMED_OUT
+                    : random.nextDouble() > errorRate ? Outcome.FINISHED
+                    : Outcome.values()[random.nextInt(Outcome.values().length)];
+            q.runningOn = null;
+            boolean queryOver = q.answered || outcome == Outcome.FINISHED;
             q.answered |= outcome == Outcome.FINISHED;
-            forget(q);
-            long took = now - q.sentAt;
-            on(new Event.Closed(q.taken.query(), new Id.Submission(q.submissions - 1), outcome, over, took,
-                    chance.nextInt(5) == 0 ? Math.min(took, chance.nextInt(3_000)) : 0,
-                    outcome == Outcome.FINISHED && chance.nextInt(3) > 0 ? 1 + q.taken.estimate() : 0));
+            removeIfClosed(q);
+            long elapsed = now - q.sentAt;
+            on(new Event.Closed(q.event.query(), new Id.Submission(q.submissions - 1), outcome, queryOver,
+                    elapsed, random.nextInt(5) == 0 ? Math.min(elapsed, random.nextInt(3_000)) : 0,
+                    outcome == Outcome.FINISHED && random.nextInt(3) > 0 ? 1 + q.event.estimate() : 0));
         }
 
-        private void forget(Open q) {
-            if (q.answered && q.out == null) {
-                open.remove(q.taken.query().value());
+        private void removeIfClosed(OpenQuery q) {
+            if (q.answered && q.runningOn == null) {
+                openQueries.remove(q.event.query().value());
             }
         }
 
         private void on(Event event) {
-            control.on(now, event, this::act);
+            control.on(now, event, this::handle);
         }
 
-        private void act(Action action) {
+        private void handle(Action action) {
             log.append(now);
             if (action instanceof Action.Submit submit) {
-                Open q = open.get(submit.query().value());
-                q.out = submit.engine();
+                OpenQuery q = openQueries.get(submit.query().value());
+                q.runningOn = submit.engine();
                 q.submissions++;
                 q.cancelled = false;
                 q.sentAt = now;
-                double takes = Math.max(500, q.taken.estimate()) * slow.getOrDefault(q.out, 1.0)
-                        * (0.8 + 0.4 * chance.nextDouble())
-                        / rules.groups().get(q.taken.group().index()).threads();
-                q.endsAt = Math.min(q.taken.clientDeadline(), now + 1 + (chance.nextInt(40) == 0
-                        ? 60 * SECOND : (long) takes));
+                double runTicks = Math.max(500, q.event.estimate()) * slowdown.getOrDefault(q.runningOn, 1.0)
+                        * (0.8 + 0.4 * random.nextDouble())
+                        / deployment.groups().get(q.event.group().index()).threads();
+                q.endsAt = Math.min(q.event.clientDeadline(), now + 1 + (random.nextInt(40) == 0
+                        ? 60 * TICKS_PER_SECOND : (long) runTicks));
                 log.append(" submit ").append(submit.query().value()).append(' ')
                         .append(submit.engine().address()).append(' ').append(submit.timeout()).append(' ')
                         .append(submit.departBy());
@@ -353,19 +354,19 @@
                 log.append(" priority ").append(priority.query().value()).append(' ')
                         .append(priority.priority());
             } else if (action instanceof Action.Cancel cancel) {
-                Open q = open.get(cancel.query().value());
-                if (q != null && q.out != null) {
+                OpenQuery q = openQueries.get(cancel.query().value());
+                if (q != null && q.runningOn != null) {
                     q.cancelled = true;
-                    q.endsAt = Math.min(q.endsAt, now + 1 + chance.nextInt(20));
+                    q.endsAt = Math.min(q.endsAt, now + 1 + random.nextInt(20));
                 }
                 log.append(" cancel ").append(cancel.query().value()).append(' ')
                         .append(cancel.submission().value());
             } else if (action instanceof Action.Defer defer) {
                 log.append(" defer ").append(defer.query().value()).append(' ').append(defer.comeBack());
-                answered(defer.query());
+                markAnswered(defer.query());
             } else if (action instanceof Action.Kill kill) {
                 log.append(" kill ").append(kill.query().value());
-                answered(kill.query());
+                markAnswered(kill.query());
             } else if (action instanceof Action.WakeMe wake) {
                 timers.add(new long[] {now + wake.span(), wake.timer().value()});
                 log.append(" wake ").append(wake.timer().value()).append(' ').append(wake.span());
@@ -374,40 +375,42 @@
             } else if (action instanceof Action.Remark remark) {
                 log.append(" remark ").append(remark.text());
             } else {
-                throw new AssertionError("an action of a new kind: " + action);
+                throw new AssertionError("unknown kind of action: " + action);
             }
             log.append('\n');
         }
 
-        private void answered(Id.Query query) {
-            Open q = open.get(query.value());
+        private void markAnswered(Id.Query query) {
+            OpenQuery q = openQueries.get(query.value());
             q.answered = true;
-            forget(q);
+            removeIfClosed(q);
         }
 
         private Deployment draw() {
-            Set<Id.Zone> zones = chance.nextInt(3) == 0 ? new HashSet<>(List.of(new Id.Zone("z1"))) : null;
-            Set<Id.Kind> kinds = chance.nextInt(4) == 0 ? new HashSet<>(List.of(new Id.Kind("m"))) : null;
-            boolean ordered = chance.nextBoolean();
+            Set<Id.Zone> zones = random.nextInt(3) == 0 ? new HashSet<>(List.of(new Id.Zone("z1"))) : null;
+            Set<Id.Kind> kinds = random.nextInt(4) == 0 ? new HashSet<>(List.of(new Id.Kind("m"))) : null;
+            boolean ordered = random.nextBoolean();
             Deployment.ResourceGroup third = new Deployment.ResourceGroup(8_000, 2, 2,
-                    chance.nextInt(2) * 0.4, 1 + chance.nextInt(3), Effect.values()[chance.nextInt(3)],
-                    Recognised.values()[chance.nextInt(3)], 2 * SECOND, ordered, zones, kinds);
+                    random.nextInt(2) * 0.4, 1 + random.nextInt(3), Effect.values()[random.nextInt(3)],
+                    Recognised.values()[random.nextInt(3)], 2 * TICKS_PER_SECOND, ordered, zones, kinds);
             Deployment.ResourceGroup fourth = new Deployment.ResourceGroup(8_000, 0, 1, 0, 1,
-                    Effect.values()[chance.nextInt(3)], Recognised.values()[chance.nextInt(3)], 3 * SECOND,
+                    Effect.values()[random.nextInt(3)], Recognised.values()[random.nextInt(3)],
+                    3 * TICKS_PER_SECOND,
                     ordered, null, null);
-            Deployment.Ration ration = chance.nextInt(3) == 0 ? null
-                    : new Deployment.Ration(chance.nextInt(4), 0.1, (1 + chance.nextInt(8)) * SECOND);
-            // Whole figures: their sum is the same in whatever order a map has them.
+            Deployment.Ration ration = random.nextInt(3) == 0 ? null
+                    : new Deployment.Ration(random.nextInt(4), 0.1,
+                            (1 + random.nextInt(8)) * TICKS_PER_SECOND);
+            // Whole numbers, so that their sum does not depend on the iteration order of the map.
             return new Deployment(fronts, List.of(ControlHarness.SHORT, ControlHarness.LONG, third, fourth),
                     List.of(new Deployment.Tenant(0.7, 70), new Deployment.Tenant(0.3, 30)),
                     Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000),
                             new Id.Kind("s"), new Deployment.Machine(4, 8_000),
                             new Id.Kind("l"), new Deployment.Machine(32, 64_000)),
-                    new Deployment.Allowed(seed % 3 > 0, seed % 4 > 0, seed % 2 > 0, 1 + chance.nextInt(4),
-                            SECOND / 2),
-                    new Deployment.Discovery(chance.nextInt(3) == 0, 10 * SECOND),
-                    new Deployment.ColdStart(0.3, 10 * SECOND, 3, 2 * SECOND), ration, SECOND, 0.1,
-                    2 * SECOND, chance.nextBoolean());
+                    new Deployment.Allowed(seed % 3 > 0, seed % 4 > 0, seed % 2 > 0, 1 + random.nextInt(4),
+                            TICKS_PER_SECOND / 2),
+                    new Deployment.Discovery(random.nextInt(3) == 0, 10 * TICKS_PER_SECOND),
+                    new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), ration,
+                    TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND, random.nextBoolean());
         }
     }
 }
--- a/src/test/java/reedspring/DependencyRulesTest.java
+++ b/src/test/java/reedspring/DependencyRulesTest.java
@@ -7,16 +7,17 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import net.jqwik.api.Example;
 
-/** What may use what: decisions and state know no I/O, and nothing that stands round them. */
+/** Rules on dependencies: decisions and state depend neither on I/O nor on the packages that perform it. */
 class DependencyRulesTest {
-    private static final String[] CORE = {"reedspring.api..", "reedspring.core..", "reedspring.spool",
+    private static final String[] CORE_PACKAGES = {"reedspring.api..", "reedspring.core..",
+            "reedspring.spool",
         "reedspring.spread"};
     private final JavaClasses classes = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("reedspring");
 
     @Example
-    void decisionsAndStateKnowNoIo() {
-        noClasses().that().resideInAnyPackage(CORE).or()
+    void coreDoesNotDependOnIo() {
+        noClasses().that().resideInAnyPackage(CORE_PACKAGES).or()
                 .haveFullyQualifiedName("reedspring.Control").should().dependOnClassesThat()
                 .resideInAnyPackage("java.io..", "java.net..", "java.nio.file..", "java.nio.channels..",
                         "java.util.concurrent..", "java.time..", "io.netty..",
@@ -27,7 +28,7 @@
     }
 
     @Example
-    void edgesKnowNoOtherEdgeAndNoFrame() {
+    void adaptersDoNotDependOnOneAnother() {
         noClasses().that().resideInAPackage("reedspring.spool.store").should().dependOnClassesThat()
                 .resideInAnyPackage("reedspring.net..", "reedspring.cli..", "reedspring.settings..",
                         "reedspring.adapter..", "io.netty..").check(classes);
--- a/src/test/java/reedspring/FleetTest.java
+++ b/src/test/java/reedspring/FleetTest.java
@@ -10,7 +10,7 @@
 import reedspring.rig.fleet.VirtualFleet;
 import reedspring.settings.SettingsException;
 
-/** Hundreds of fronts' decisions in virtual time, by timetables; the rules are checked at every action. */
+/** Simulates up to hundreds of fronts in virtual time, by timetables; checks the rules at every action. */
 class FleetTest {
     private static final String TIMETABLES = "bench/timetables/";
     private static final int SEEDS = 3;
@@ -21,10 +21,10 @@
                 .play();
     }
 
-    private static double mean(String name, int fronts, int engines, ToDoubleFunction<VirtualFleet> figure) {
+    private static double mean(String name, int fronts, int engines, ToDoubleFunction<VirtualFleet> metric) {
         return LongStream.rangeClosed(1, SEEDS).mapToDouble(seed -> {
             try {
-                return figure.applyAsDouble(play(name, fronts, engines, seed));
+                return metric.applyAsDouble(play(name, fronts, engines, seed));
             } catch (SettingsException e) {
                 throw new AssertionError(e);
             }
@@ -32,12 +32,11 @@
     }
 
     /**
-     * The whole fleet's calm day: a burst of half as much again pushed a third of the engines over their
-     * memory, and 15 s after its end a third of the value was served, on engines that stood idle for the most
-     * part.
+     * A burst of 50 % more load pushed a third of the engines over their memory; 15 s after its end only a
+     * third of the value was served, on engines that were mostly idle.
      */
     @Example
-    void aBurstThatFillsTheEnginesMemoryLeavesNoFleetThatStaysDown() {
+    void theFleetRecoversFromABurstThatFillsTheEnginesMemory() {
         double[] after = new double[1];
         double before = mean("memory-burst.ini", 60, 24, fleet -> {
             after[0] += fleet.served(10, 30) / SEEDS;
@@ -47,9 +46,9 @@
         assertTrue(after[0] > 0.7, "served after the burst: " + after[0]);
     }
 
-    /** Where each front sees much, what hundreds need must not make it worse. */
+    /** Mechanisms for hundreds of fronts must not make few fronts worse, which each see much of the load. */
     @Example
-    void oneThreeAndTwelveFrontsServeNearlyAllOfACalmLoad() throws SettingsException {
+    void fewFrontsServeNearlyAllOfANormalLoad() throws SettingsException {
         for (int fronts : new int[] {1, 3, 12}) {
             double served = play("calm.ini", fronts, 12, 4).served();
             assertTrue(served > 0.95, fronts + " fronts served: " + served);
@@ -57,19 +56,22 @@
     }
 
     /**
-     * A tenth of the work of an engine that returns is what all fronts may try; it must not be more than
-     * peers bear.
+     * All fronts together may use a tenth of a returning engine for probes, and no engine may be overloaded
+     * meanwhile.
      */
     @Example
-    void aHundredFrontsAndAnEngineThatReturnsFromSilenceAndHalfReplaced() throws SettingsException {
+    void aHundredFrontsHandleAReturningEngineAndHalfReplaced() throws SettingsException {
         VirtualFleet fleet = play("return.ini", 100, 40, 5);
         assertTrue(fleet.served() > 0.8, "served: " + fleet.served() + " " + fleet.counts());
-        assertTrue(fleet.mostThreads() < 8, "threads a core on the fullest: " + fleet.mostThreads());
+        assertTrue(fleet.mostThreads() < 8, "threads per core on the fullest: " + fleet.mostThreads());
     }
 
-    /** Lists seven seconds apart, in another order for each; nothing goes to what a front was told is off. */
+    /**
+     * Fronts get lists up to seven seconds apart, each in another order; none uses an engine listed as
+     * unavailable.
+     */
     @Example
-    void listsSecondsApartBeforeManyFrontsAndFew() throws SettingsException {
+    void listsThatReachFrontsSecondsApart() throws SettingsException {
         for (int fronts : new int[] {1, 3, 12, 200}) {
             VirtualFleet fleet = play("lists.ini", fronts, fronts > 12 ? 40 : 12, 10);
             assertTrue(fleet.served() > 0.8, fronts + " fronts served: " + fleet.served() + " " + fleet
@@ -78,16 +80,17 @@
     }
 
     @Example
-    void seventyOfAHundredFrontsAreKilledAndTheRestBearTheLoad() throws SettingsException {
+    void theRestBearTheLoadWhenSeventyOfAHundredFrontsAreKilled() throws SettingsException {
         VirtualFleet fleet = play("kill.ini", 100, 40, 6);
         assertTrue(fleet.served(6, 12) > 0.9, "served afterwards: " + fleet.served(6, 12));
     }
 
     /**
-     * Failing at once, five times slower, cut one way, lying, frozen and mute, before many fronts and few.
+     * Engines that fail at once, are five times slower, are cut off in one direction, report a wrong load,
+     * hang or do not answer, with many fronts and few.
      */
     @Example
-    void badEnginesTakeLittleBeforeManyFrontsAndFew() throws SettingsException {
+    void badEnginesGetFewQueries() throws SettingsException {
         for (int fronts : new int[] {1, 3, 12, 100}) {
             VirtualFleet fleet = play("bad-engines.ini", fronts, fronts > 12 ? 40 : 12, 9);
             assertTrue(fleet.served() > 0.85, fronts + " fronts served: " + fleet.served());
@@ -95,21 +98,21 @@
     }
 
     /**
-     * What all fronts send together, equal and unequal, some of them started anew within the window: the
-     * fleet checks each arrival against the rule with no more room for chance than twice the root and two.
+     * Fronts of equal and unequal load, some of them restarted within the window. The simulation checks each
+     * arrival against the cold start rule, with a tolerance of two plus twice the square root for randomness.
      */
     @Example
-    void allFrontsTogetherPushNoColdEngineOver() throws SettingsException {
+    void allFrontsTogetherDoNotOverloadAColdEngine() throws SettingsException {
         for (int fronts : new int[] {1, 3, 20, 30, 100}) {
             for (long seed = 1; seed <= (fronts < 100 ? 6 : 2); seed++) {
                 VirtualFleet fleet = play("cold.ini", fronts, fronts > 20 ? fronts * 2 / 5 : 8, seed);
-                assertTrue(fleet.coldArrivals() > 20, "cold engines are used, too: " + fleet.coldArrivals());
+                assertTrue(fleet.coldArrivals() > 20, "arrivals at cold engines: " + fleet.coldArrivals());
             }
         }
     }
 
     @Example
-    void aSiteLostAndAStormLeaveNoFleetDown() throws SettingsException {
+    void theFleetRecoversFromAStormAndALostSite() throws SettingsException {
         VirtualFleet storm = play("storm.ini", 100, 40, 7);
         assertTrue(storm.served(9, 12) > 0.9, "served after the storm: " + storm.served(9, 12));
         VirtualFleet site = play("site-lost.ini", 100, 40, 8);
--- a/src/test/java/reedspring/core/policy/PoliciesTest.java
+++ b/src/test/java/reedspring/core/policy/PoliciesTest.java
@@ -6,10 +6,10 @@
 import net.jqwik.api.Example;
 import reedspring.core.policy.AcceptBackoff.Cause;
 
-/** The small policies, each by its edges. Times are tenths of a millisecond. */
+/** Boundary cases of the smaller policies. Times are in ticks: tenths of a millisecond. */
 class PoliciesTest {
     @Example
-    void aFailureOfOneConnectionCostsNothingAndLacksAreWaitedForLongerAndLonger() {
+    void onlyResourceFailuresBackOffExponentially() {
         AcceptBackoff backoff = new AcceptBackoff();
         assertEquals(0, backoff.failed(Cause.CONNECTION));
         assertEquals(10, backoff.failed(Cause.MEMORY));
@@ -26,14 +26,14 @@
     }
 
     @Example
-    void aNewEngineThatIsSaidToBeOldIsNotBelieved() {
-        assertEquals(900_000, EngineStartTime.ofNewEngine(900_000, 960_000), "within what news may take");
+    void aNewEngineThatReportsAnOldStartIsCorrected() {
+        assertEquals(900_000, EngineStartTime.ofNewEngine(900_000, 960_000), "within the delay of discovery");
         assertEquals(980_000, EngineStartTime.ofNewEngine(900_000, 980_000));
-        assertEquals(900_000, EngineStartTime.ofNewEngine(900_000, 0), "nothing was heard before");
+        assertEquals(900_000, EngineStartTime.ofNewEngine(900_000, 0), "no message before");
     }
 
     @Example
-    void aStartThatLiesInTheFutureByBothClocksIsNow() {
+    void aStartInTheFutureByBothClocksIsNow() {
         assertEquals(1_000, EngineStartTime.estimate(1_500, 1_000, 1_200));
     }
 }
--- a/src/test/java/reedspring/core/policy/QueryLifecycleTest.java
+++ b/src/test/java/reedspring/core/policy/QueryLifecycleTest.java
@@ -15,9 +15,9 @@
 import reedspring.core.policy.QueryLifecycle.SendFacts;
 import reedspring.core.policy.QueryLifecycle.Verdict;
 
-/** What may be done with a query, by hand and against a plain model under random calls. */
+/** Checks the verdicts by examples and, for random calls, against a simple model. */
 class QueryLifecycleTest {
-    private static final SendFacts FINE = new SendFacts(100, 200, Long.MAX_VALUE, true, true);
+    private static final SendFacts SENDABLE = new SendFacts(100, 200, Long.MAX_VALUE, true, true);
 
     private static ResourceGroup group(Effect effect, Recognised recognised) {
         return new ResourceGroup(10_000, 2, 1, 0, 1, effect, recognised, 50_000, false, null, null);
@@ -28,20 +28,20 @@
     }
 
     @Example
-    void eachFactThatForbidsASendIsItsReason() {
+    void eachFactThatForbidsSendingIsTheVerdict() {
         QueryLifecycle query = query(Effect.READ_ONLY);
         assertEquals(Verdict.ALLOWED, query.startAttempt());
         assertEquals(Verdict.CLIENT_GONE, query.send(new SendFacts(100, 200, 300, false, true)));
         assertEquals(Verdict.DEADLINE_PASSED, query.send(new SendFacts(200, 200, 300, true, true)));
         assertEquals(Verdict.REPEAT_FORGOTTEN, query.send(new SendFacts(100, 200, 99, true, true)));
         assertEquals(Verdict.ENGINE_NOT_READY, query.send(new SendFacts(100, 200, 300, true, false)));
-        assertEquals(Verdict.ALLOWED, query.send(FINE));
+        assertEquals(Verdict.ALLOWED, query.send(SENDABLE));
         query.clientLeft();
-        assertEquals(Verdict.QUERY_OVER, query.send(FINE));
+        assertEquals(Verdict.QUERY_OVER, query.send(SENDABLE));
     }
 
     @Example
-    void oneAttemptAtATimeAndNoMoreThanAllowed() {
+    void submissionsAreSequentialAndLimited() {
         QueryLifecycle query = query(Effect.READ_ONLY);
         for (int k = 0; k < 3; k++) {
             assertEquals(Verdict.ALLOWED, query.startAttempt());
@@ -51,15 +51,15 @@
         assertEquals(Verdict.ATTEMPTS_USED_UP, query.startAttempt());
     }
 
-    /** One that was withheld, refused or turned away proves that nothing ran. */
+    /** A submission that was withheld or refused proves that nothing ran. */
     @Example
-    void aChangeIsRepeatedAndDeferredOnlyWhileNothingCanHaveRun() {
+    void aMutatingQueryIsRepeatedOrDeferredOnlyIfItCanNotHaveRun() {
         QueryLifecycle query = query(Effect.MUTATING);
         query.startAttempt();
         assertEquals(Answer.DEFERRED, query.answerIfGivenUp());
         query.attemptEnded(false);
-        assertEquals(Verdict.ALLOWED, query.startAttempt(), "nothing of the first was sent");
-        query.send(FINE);
+        assertEquals(Verdict.ALLOWED, query.startAttempt(), "the first was not sent");
+        query.send(SENDABLE);
         assertEquals(Answer.FAILED, query.answerIfGivenUp());
         query.attemptEnded(false);
         assertEquals(Verdict.UNSAFE_REPEAT, query.startAttempt());
@@ -69,32 +69,32 @@
         assertTrue(query.over());
     }
 
-    /** Whatever is asked of it in whatever order: no two answers, no two attempts, no effect twice. */
+    /** In any order of calls: no second answer, no concurrent submissions, no effect twice. */
     @Property(tries = 300, seed = "1")
-    void noOrderOfCallsBreaksARule(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Effect effect = Effect.values()[chance.nextInt(3)];
-        Recognised recognised = Recognised.values()[chance.nextInt(3)];
-        QueryLifecycle query = new QueryLifecycle(group(effect, recognised), 1 + chance.nextInt(4));
-        boolean out = false;
+    void randomCallsBreakNoRule(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Effect effect = Effect.values()[random.nextInt(3)];
+        Recognised recognised = Recognised.values()[random.nextInt(3)];
+        QueryLifecycle query = new QueryLifecycle(group(effect, recognised), 1 + random.nextInt(4));
+        boolean outstanding = false;
         boolean sent = false;
-        boolean ran = false;
+        boolean mayHaveRun = false;
         int answers = 0;
         for (int k = 0; k < 40; k++) {
-            switch (chance.nextInt(4)) {
+            switch (random.nextInt(4)) {
                 case 0 -> {
                     if (query.startAttempt().allowed()) {
-                        assertFalse(out, "two attempts at once");
-                        assertFalse(ran && effect == Effect.MUTATING, "an effect twice");
-                        assertEquals(0, answers, "an attempt after the answer");
-                        out = true;
+                        assertFalse(outstanding, "two submissions at once");
+                        assertFalse(mayHaveRun && effect == Effect.MUTATING, "an effect twice");
+                        assertEquals(0, answers, "a submission after the answer");
+                        outstanding = true;
                         sent = false;
                     }
                 }
                 case 1 -> {
-                    SendFacts facts = new SendFacts(100, 95 + chance.nextInt(10), 95 + chance.nextInt(10),
-                            chance.nextInt(4) > 0, chance.nextInt(4) > 0);
-                    if (out && !sent && query.send(facts).allowed()) {
+                    SendFacts facts = new SendFacts(100, 95 + random.nextInt(10), 95 + random.nextInt(10),
+                            random.nextInt(4) > 0, random.nextInt(4) > 0);
+                    if (outstanding && !sent && query.send(facts).allowed()) {
                         assertTrue(facts.clientPresent() && facts.engineReady()
                                 && facts.now() < facts.deadline()
                                 && facts.now() <= facts.lastStart() && answers == 0, facts::toString);
@@ -102,15 +102,15 @@
                     }
                 }
                 case 2 -> {
-                    boolean neverRan = chance.nextBoolean();
+                    boolean neverRan = random.nextBoolean();
                     query.attemptEnded(neverRan);
-                    ran |= out && sent && !neverRan;
-                    out = false;
+                    mayHaveRun |= outstanding && sent && !neverRan;
+                    outstanding = false;
                     sent = false;
                 }
                 default -> {
-                    Answer answer = Answer.values()[chance.nextInt(3)];
-                    boolean safe = effect == Effect.READ_ONLY || !ran && !(out && sent)
+                    Answer answer = Answer.values()[random.nextInt(3)];
+                    boolean safe = effect == Effect.READ_ONLY || !mayHaveRun && !(outstanding && sent)
                             || effect == Effect.TOKENED && recognised == Recognised.ALL;
                     if (query.answer(answer).allowed()) {
                         assertTrue(answer != Answer.DEFERRED || safe, "an unsafe deferral");
