--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -232,9 +232,8 @@
             Set<Id.Engine> listedIds = list.entries().stream().map(Event.Listing::engine)
                     .collect(Collectors.toSet());
             engines.stream().filter(engine -> !engine.gone && !listedIds.contains(engine.id))
-                    .forEach(engine -> post(engine,
-                    actor -> actor.onListed(new Event.Listing(actor.id, actor.kind,
-                            actor.zone, actor.cell, Event.Health.GONE, 0))));
+                    .forEach(engine -> post(engine, actor -> actor.onListed(new Event.Listing(actor.id,
+                            actor.kind, actor.zone, actor.cell, Event.Health.GONE, 0))));
         }
         PrimitiveIterator.OfInt reusable = null;
         for (Event.Listing listing : list.entries()) {
@@ -263,14 +262,16 @@
      */
     private PrimitiveIterator.OfInt reusableRows(List<Event.Listing> listings) {
         BitSet reusable = new BitSet();
-        removedRows.stream().filter(row -> ownQueries[row] == 0
-                && engines.get(row).abandonedRuns.isEmpty()).forEach(reusable::set);
+        removedRows.stream()
+                .filter(row -> ownQueries[row] == 0 && engines.get(row).abandonedRuns.isEmpty())
+                .forEach(reusable::set);
         if (!reusable.isEmpty()) {
             scheduler.queries.values().forEach(q ->
                     IntStream.of(q.failedOn, q.firstRanOn).filter(row -> row >= 0).forEach(reusable::clear));
             // An engine that returns with this list keeps its row, which a new engine must not take.
-            listings.stream().filter(listing -> listing.health() != Event.Health.GONE
-                    && enginesById.containsKey(listing.engine()))
+            listings.stream()
+                    .filter(listing -> listing.health() != Event.Health.GONE
+                            && enginesById.containsKey(listing.engine()))
                     .forEach(listing -> reusable.clear(enginesById.get(listing.engine()).row));
         }
         return reusable.stream().iterator();
@@ -377,8 +378,7 @@
             if (outcome == Outcome.FINISHED) {
                 errorRate[row] *= ejected[row] ? 0.5 : 0.75;
                 lastTimelyFinishAt = closed.elapsed() - closed.arrivalUncertainty()
-                        <= 2 * scheduler.expectedRuntime(q)
-                        + OVERDUE_GRACE_TICKS ? now : lastTimelyFinishAt;
+                        <= 2 * scheduler.expectedRuntime(q) + OVERDUE_GRACE_TICKS ? now : lastTimelyFinishAt;
                 updateSlowdown(closed, q, closed.work() > 0 ? closed.work() : q.work);
             } else if (isError) {
                 errorRate[row] = Math.max(errorRate[row] + 0.25 * (1 - errorRate[row]),
@@ -417,8 +417,8 @@
                         : engineLogSlowdown[row];
                 double observed = Math.max(-1.5,
                         Math.min(3, observedLogSlowdown(previous,
-                        (closed.elapsed() - closed.arrivalUncertainty()) * q.threads,
-                        closed.elapsed() * q.threads, work)));
+                                (closed.elapsed() - closed.arrivalUncertainty()) * q.threads,
+                                closed.elapsed() * q.threads, work)));
                 engineLogSlowdown[row] = Double.isNaN(engineLogSlowdown[row]) ? Math.min(observed, 0.7)
                         : engineLogSlowdown[row] + 0.15 * (observed - engineLogSlowdown[row]);
             }
@@ -437,9 +437,8 @@
             });
             if (!ejected[row] && now - lastHeardAt >= Math.max(MIN_SILENCE_TICKS,
                     deployment.noteEvery() * 5 / 4)
-                    && scheduler.queries.values().stream().filter(q -> q.runningOn == row
-                    && scheduler.isStalled(q))
-                            .count() > 1) {
+                    && scheduler.queries.values().stream()
+                            .filter(q -> q.runningOn == row && scheduler.isStalled(q)).count() > 1) {
                 eject("is silent");
             }
         }
@@ -452,8 +451,8 @@
          */
         private void ejectIfThrashing(Query q, int enginesWithOverdue) {
             if (!ejected[row] && lastTimelyFinishAt < q.sentAt
-                    && engines.stream().filter(e -> up[e.row]
-                    && e.lastTimelyFinishAt >= q.sentAt).count() > enginesWithOverdue) {
+                    && engines.stream().filter(e -> up[e.row] && e.lastTimelyFinishAt >= q.sentAt).count()
+                            > enginesWithOverdue) {
                 ejectionTicks = Math.max(ejectionTicks, MIN_THRASHING_EJECTION_TICKS);
                 maxEjectionTicks = MAX_THRASHING_EJECTION_TICKS;
                 eject("crawls");
@@ -486,14 +485,14 @@
 
     /** Sums a per-engine value over the engines that are up and not ejected. */
     private double sumOverAvailable(IntToDoubleFunction valueOfRow) {
-        return IntStream.range(0, engines.size()).filter(row -> up[row]
-                && !ejected[row]).mapToDouble(valueOfRow).sum();
+        return IntStream.range(0, engines.size()).filter(row -> up[row] && !ejected[row])
+                .mapToDouble(valueOfRow).sum();
     }
 
     /** The median over the engines that are up and have a value; 0 if none has. */
     private double median(double[] values) {
-        double[] known = IntStream.range(0, engines.size()).filter(row -> up[row]
-                && !Double.isNaN(values[row]))
+        double[] known = IntStream.range(0, engines.size())
+                .filter(row -> up[row] && !Double.isNaN(values[row]))
                 .mapToDouble(row -> values[row]).sorted().toArray();
         return known.length == 0 ? 0 : known[(known.length - 1) / 2];
     }
@@ -518,7 +517,7 @@
         double initial = deployment.coldStart().initialSpeed();
         return !isCold(row) ? 1
                 : initial + (1 - initial) * Math.max(0, now - engineStartedAt[row])
-                / deployment.coldStart().ramp();
+                        / deployment.coldStart().ramp();
     }
 
     /**
@@ -784,8 +783,8 @@
             double equalShare = 1.0 / deployment.fronts();
             return totalTenantRate <= 0 ? equalShare
                     : Math.max(equalShare, Math.min(1, ARRIVAL_SHARE_RATIO * recentArrivals
-                    * Math.exp((lastArrivalAt - now) / (double) ARRIVALS_WINDOW_TICKS)
-                    * TICKS_PER_SECOND / ARRIVALS_WINDOW_TICKS / totalTenantRate));
+                            * Math.exp((lastArrivalAt - now) / (double) ARRIVALS_WINDOW_TICKS)
+                            * TICKS_PER_SECOND / ARRIVALS_WINDOW_TICKS / totalTenantRate));
         }
 
         /**
@@ -801,7 +800,7 @@
             }
             double relativeSize = meanNeedMb <= 0 ? 0
                     : meanSquaredNeed / meanNeedMb * sumOverAvailable(row -> 1)
-                    / Math.max(1, sumOverAvailable(row -> memoryMb[row]));
+                            / Math.max(1, sumOverAvailable(row -> memoryMb[row]));
             double sigmas = MEMORY_MARGIN_SIGMAS * (1 - frontShare()) * (1 - frontShare());
             double rootOfRatio = (Math.sqrt(sigmas * sigmas * relativeSize + 4) - sigmas
                     * Math.sqrt(relativeSize)) / 2;
@@ -837,8 +836,8 @@
             // At most half of the limit is charged for the largest running query: admitted on an idle front,
             // it would otherwise keep out all small ones while it runs.
             freeMemoryMb = memoryLimitMb - sumOverAvailable(k -> ownMemoryMb[k])
-                    + Math.max(0, running.stream()
-                    .mapToDouble(q -> q.needMb).max().orElse(0) - memoryLimitMb * MAX_QUERY_MEMORY_RATIO);
+                    + Math.max(0, running.stream().mapToDouble(q -> q.needMb).max().orElse(0)
+                            - memoryLimitMb * MAX_QUERY_MEMORY_RATIO);
             for (TenantAccount account : accountsByUsage()) {
                 // While queries of other groups wait, no group may use the whole limit: in order of arrival,
                 // short queries would miss their targets behind long ones that each use many threads.
@@ -853,8 +852,9 @@
                 for (Query q : account.queue) {
                     // The resubmission budget may have shrunk since the query was queued: check it again.
                     int groupBit = 1 << Math.min(q.group, 30);
-                    if ((blockedGroups & groupBit) != 0 || (memoryBlockedGroups & groupBit) != 0
-                            && q.needMb >= memoryBlockedMb || q.missesTarget && !spareCapacity
+                    if ((blockedGroups & groupBit) != 0
+                            || (memoryBlockedGroups & groupBit) != 0 && q.needMb >= memoryBlockedMb
+                            || q.missesTarget && !spareCapacity
                             || q.submissions > 0 && !mayResubmit(q, false)) {
                         continue;
                     }
@@ -941,8 +941,8 @@
                 double effectiveCores = effectiveCores(row);
                 double load = spread.threadSteps(row, ownThreads[row]) / effectiveCores
                         + 1e-6 * spread.tieBreak(row, ownThreads[row], effectiveCores, now)
-                        + (row == q.failedOn ? 2 * LAST_RESORT_PENALTY : missesTarget ? LAST_RESORT_PENALTY
-                        : 0);
+                        + (row == q.failedOn ? 2 * LAST_RESORT_PENALTY
+                                : missesTarget ? LAST_RESORT_PENALTY : 0);
                 if (load < lowestLoad && !ejected[row]) {
                     lowestLoad = load;
                     best = row;
@@ -1040,8 +1040,8 @@
                 remove(q);
             } else if (outcome != Outcome.NOT_SENT && outcome != Outcome.NOT_KEPT
                     && q.submissions < deployment.allowed().submissions()
-                    && mayResubmit(q, false) && now + expectedRuntime(q) < q.clientDeadline
-                    - ANSWER_MARGIN_TICKS) {
+                    && mayResubmit(q, false)
+                    && now + expectedRuntime(q) < q.clientDeadline - ANSWER_MARGIN_TICKS) {
                 q.failedOn = q.lastSentTo;
                 enqueue(q);
             } else {
@@ -1105,19 +1105,19 @@
             if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestDeparture(q)) {
                 return false;
             }
-            Deployment.Ration ration = deployment.resubmissionBudget();
-            if (ration == null) {
+            Deployment.Ration budget = deployment.resubmissionBudget();
+            if (budget == null) {
                 return true;
             }
             // Both windows are stricter by one tick to allow for rounding of the clock.
-            while (!resubmittedAt.isEmpty() && now - resubmittedAt.peek() > ration.window() + 1) {
+            while (!resubmittedAt.isEmpty() && now - resubmittedAt.peek() > budget.window() + 1) {
                 resubmittedAt.poll();
             }
-            while (!acceptedAt.isEmpty() && now - acceptedAt.peek() >= ration.window() - 1) {
+            while (!acceptedAt.isEmpty() && now - acceptedAt.peek() >= budget.window() - 1) {
                 acceptedAt.poll();
             }
-            return resubmittedAt.size() + 1 <= ration.freeResubmissions()
-                    + ration.perQuery() * acceptedAt.size();
+            return resubmittedAt.size() + 1 <= budget.freeResubmissions()
+                    + budget.perQuery() * acceptedAt.size();
         }
 
         /**
@@ -1270,8 +1270,7 @@
             List<Query> queued = new ArrayList<>();
             double queuedWork = 0;
             int enginesWithOverdue = (int) queries.values().stream().filter(this::isFarOverdue)
-                    .mapToInt(q -> q.runningOn)
-                    .distinct().count();
+                    .mapToInt(q -> q.runningOn).distinct().count();
             for (Query q : new ArrayList<>(queries.values())) {
                 if (q.runningOn >= 0) {
                     if (isFarOverdue(q) && !deployment.allowed().cancel()) {
@@ -1297,11 +1296,12 @@
                     }
                 } else if (now >= q.clientDeadline - ANSWER_MARGIN_TICKS
                         || (q.missesTarget = now + expectedRuntime(q) > q.targetDeadline)
-                        && (deployment.groups().get(q.group).lateValue() <= 0
-                                || now + expectedRuntime(q) > q.clientDeadline - ANSWER_MARGIN_TICKS)) {
+                                && (deployment.groups().get(q.group).lateValue() <= 0
+                                        || now + expectedRuntime(q)
+                                                > q.clientDeadline - ANSWER_MARGIN_TICKS)) {
                     giveUp(q);
-                } else if (!q.missesTarget && (!q.waitsForMemory
-                        || now - limitReachedAt < TICKS_PER_SECOND)) {
+                } else if (!q.missesTarget
+                        && (!q.waitsForMemory || now - limitReachedAt < TICKS_PER_SECOND)) {
                     // Below the concurrency limit, giving up a query that waits for memory helps no other.
                     queued.add(q);
                     queuedWork += q.work;
--- a/src/test/java/reedspring/ControlHarness.java
+++ b/src/test/java/reedspring/ControlHarness.java
@@ -93,19 +93,21 @@
                 false, null, null);
     }
 
-    static Deployment deployment(boolean cancel, boolean mustAsk, Deployment.Ration ration,
+    static Deployment deployment(boolean cancel, boolean mustSubscribe, Deployment.Ration resubmissionBudget,
                                  Deployment.ResourceGroup... groups) {
-        return deployment(2, cancel, mustAsk, ration, groups);
+        return deployment(2, cancel, mustSubscribe, resubmissionBudget, groups);
     }
 
-    static Deployment deployment(int fronts, boolean cancel, boolean mustAsk, Deployment.Ration ration,
+    static Deployment deployment(int fronts, boolean cancel, boolean mustSubscribe,
+            Deployment.Ration resubmissionBudget,
                                  Deployment.ResourceGroup... groups) {
         return new Deployment(fronts, List.of(groups),
                 List.of(new Deployment.Tenant(0.7, 70), new Deployment.Tenant(0.3, 30)),
                 Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000)),
                 new Deployment.Allowed(cancel, true, true, 4, TICKS_PER_SECOND / 2),
-                new Deployment.Discovery(mustAsk, 10 * TICKS_PER_SECOND),
-                new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), ration,
+                new Deployment.Discovery(mustSubscribe, 10 * TICKS_PER_SECOND),
+                new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND),
+                resubmissionBudget,
                 TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND,
                 true);
     }
@@ -342,10 +344,11 @@
                 Effect.values()[random.nextInt(3)], Recognised.values()[random.nextInt(3)],
                 3 * TICKS_PER_SECOND,
                 ordered, null, null);
-        Deployment.Ration ration = random.nextInt(3) == 0 ? null
+        Deployment.Ration resubmissionBudget = random.nextInt(3) == 0 ? null
                 : new Deployment.Ration(random.nextInt(4), 0.1, (1 + random.nextInt(8)) * TICKS_PER_SECOND);
         int[] fronts = {1, 2, 7, 300};
-        return deployment(fronts[random.nextInt(4)], random.nextBoolean(), random.nextInt(3) == 0, ration,
+        return deployment(fronts[random.nextInt(4)], random.nextBoolean(), random.nextInt(3) == 0,
+                resubmissionBudget,
                 SHORT, LONG, third, fourth);
     }
 }
--- a/src/test/java/reedspring/ControlTest.java
+++ b/src/test/java/reedspring/ControlTest.java
@@ -444,10 +444,10 @@
 
     @Example
     void aReadOnlyQueryWithABadPlanIsRestarted() {
-        Deployment rules = ControlHarness.deployment(true, false, null, ControlHarness.SHORT,
+        Deployment deployment = ControlHarness.deployment(true, false, null, ControlHarness.SHORT,
                 ControlHarness.LONG,
                 ControlHarness.group(10_000, 5, 1, Effect.MUTATING));
-        ControlHarness harness = harnessWithWarmEngines(2, rules);
+        ControlHarness harness = harnessWithWarmEngines(2, deployment);
         OpenQuery restarted = harness.accept(1, 0, 20_000, 150_000, null);
         OpenQuery mutating = harness.accept(2, 0, 20_000, 150_000, null);
         harness.advance(2 * TICKS_PER_SECOND);
@@ -623,11 +623,11 @@
     /** Run binh-duong-later, i59e677: with 218 fronts, cold engines got no queries during their ramp. */
     @Example
     void hundredsOfFrontsUseAColdEngineWithoutOverloadingIt() {
-        Deployment rules = ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT,
+        Deployment deployment = ControlHarness.deployment(300, true, false, null, ControlHarness.SHORT,
                 ControlHarness.LONG);
         List<ControlHarness> fronts = new ArrayList<>();
         for (int k = 0; k < 300; k++) {
-            ControlHarness harness = new ControlHarness(rules, k);
+            ControlHarness harness = new ControlHarness(deployment, k);
             harness.advance(3 * TICKS_PER_SECOND);
             harness.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
             fronts.add(harness);
--- a/src/test/java/reedspring/DecisionsTest.java
+++ b/src/test/java/reedspring/DecisionsTest.java
@@ -397,7 +397,7 @@
                     Effect.values()[random.nextInt(3)], Recognised.values()[random.nextInt(3)],
                     3 * TICKS_PER_SECOND,
                     ordered, null, null);
-            Deployment.Ration ration = random.nextInt(3) == 0 ? null
+            Deployment.Ration resubmissionBudget = random.nextInt(3) == 0 ? null
                     : new Deployment.Ration(random.nextInt(4), 0.1,
                             (1 + random.nextInt(8)) * TICKS_PER_SECOND);
             // Whole numbers, so that their sum does not depend on the iteration order of the map.
@@ -409,7 +409,8 @@
                     new Deployment.Allowed(seed % 3 > 0, seed % 4 > 0, seed % 2 > 0, 1 + random.nextInt(4),
                             TICKS_PER_SECOND / 2),
                     new Deployment.Discovery(random.nextInt(3) == 0, 10 * TICKS_PER_SECOND),
-                    new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), ration,
+                    new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND),
+                    resubmissionBudget,
                     TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND, random.nextBoolean());
         }
     }
