--- a/src/main/java/reedspring/spread/Spread.java
+++ b/src/main/java/reedspring/spread/Spread.java
@@ -18,10 +18,10 @@
  * engines so that the total over all fronts stays within what an engine can take, and adds jitter to what all
  * fronts would otherwise do at the same time. Reasons and figures: docs/spread.md.
  *
- * <p>Create one for each {@code Control}, report what happens to an engine ({@link #engineListed},
- * {@link #submissionSent}, {@link #submissionEnded}, {@link #loadReported}) and query it. Engines are named by
- * their rows, which are dense indexes. Does no I/O and reads no clock: times are parameters, in ticks (whole
- * tenths of a millisecond). Random numbers depend on the seed alone. Not thread-safe.
+ * <p>Create one for each {@code Control}, report what happens to an engine ({@link #engineListed}, {@link
+ * #submissionSent}, {@link #submissionEnded}, {@link #loadReported}) and query it. Engines are named by their
+ * rows, which are dense indexes. Does no I/O and reads no clock: times are parameters, in ticks (whole tenths
+ * of a millisecond). Random numbers depend on the seed alone. Not thread-safe.
  */
 public final class Spread {
     /**
