--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -90,8 +90,8 @@
                         "s.over || s != null;", day("no-look-for-closes", trouble(What.GIVE_UP, 1, 6, 1),
                                 stop, trouble(What.BAD_CLIENTS, 1, 6, 1)), "after its client had gone"),
                 new Mutant("drains-unheard", List.of(
-                        new Change("Control.java", "            if (!up[k] || group.zones()",
-                                "            if (fleet.get(k).gone || group.zones()"),
+                        new Change("Control.java", "            if (!up[row] || group.zones()",
+                                "            if (engines.get(row).gone || group.zones()"),
                         new Change("net/Engines.java",
                                 "pool.up = host.listing().health() == Event.Health.UP;",
                                 "pool.up = host.listing().health() != Event.Health.GONE;")),
@@ -109,9 +109,9 @@
                         "        List.copyOf(openQueries.values()).forEach(front::answerBeforeClose);\n", "",
                         day("ends-unanswered", trouble(What.BAD_CLIENTS, 1, 6, 1)), "lost unanswered"),
                 new Mutant("cold-unheeded", "spread/Spread.java",
-                        "        Deployment.ColdStart rule = house.coldStart();\n        if (now - bornAt",
-                        "        Deployment.ColdStart rule = house.coldStart();\n        if (now >= 0) {\n"
-                                + "            return true;\n        }\n        if (now - bornAt",
+                        "Deployment.ColdStart rule = deployment.coldStart();\n        if (now - createdAt",
+                        "Deployment.ColdStart rule = deployment.coldStart();\n        if (now >= 0) {\n"
+                                + "            return true;\n        }\n        if (now - createdAt",
                         coldDay("cold-unheeded"), "cold engine pushed over"),
                 new Mutant("wall-clock-believed", List.of(
                         new Change("net/Clock.java",
