--- a/src/rig/java/reedspring/rig/scale/Host.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -49,22 +49,23 @@
 import reedspring.rig.fleet.Timetable;
 
 /**
- * One process of the scale run beside its main: many hollow fronts, many hollow engines, or the real fronts
- * with their clients. It does what lines on standard input say, answers each with one line, and ends, with
- * all that it has started, when its standard input does: so nothing outlives a main that is killed.
+ * Main class of a child process of the scale run, which holds many hollow fronts, many stand-in engines, or the
+ * real fronts with their clients. It executes one command per line of standard input and replies with one line
+ * each. At the end of its standard input it exits and stops all that it has started, so that no process
+ * outlives a main process that is killed.
  */
-final class Host {
-    /** Of each real front, each with one query out at a time. */
-    static final int CLIENTS = 2;
+final class ChildMain {
+    /** Clients of each real front; each has at most one query open. */
+    static final int CLIENTS_PER_FRONT = 2;
 
-    /** A line is a word and its arguments; what it answers is on one line, too. */
+    /** Executes a command (a word and its arguments) and returns the reply, which is one line. */
     private interface Role {
-        String does(String[] words) throws Exception;
+        String execute(String[] words) throws Exception;
 
-        void ends();
+        void stop();
     }
 
-    private Host() {
+    private ChildMain() {
     }
 
     public static void main(String[] args) throws IOException {
@@ -72,15 +73,15 @@
         System.setOut(System.err);
         Role role = switch (args[0]) {
             case "hollow" -> new HollowFronts();
-            case "engines" -> new HollowEngines();
+            case "engines" -> new StandInEngines();
             default -> new RealFronts();
         };
-        Runtime.getRuntime().addShutdownHook(new Thread(role::ends));
+        Runtime.getRuntime().addShutdownHook(new Thread(role::stop));
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String reply;
             try {
-                reply = "ok " + role.does(line.split(" "));
+                reply = "ok " + role.execute(line.split(" "));
             } catch (Exception | Error e) {
                 e.printStackTrace();
                 reply = "failed " + e;
@@ -88,28 +89,28 @@
             replies.println(reply.replace('\n', ' '));
             replies.flush();
         }
-        role.ends();
+        role.stop();
         Runtime.getRuntime().halt(0);
     }
 
-    private static List<Integer> numbers(String text) {
+    private static List<Integer> parseNumbers(String text) {
         return Arrays.stream(text.split(",")).map(Integer::valueOf).toList();
     }
 
-    private static <V> String pairs(Map<Integer, V> of, Asked<V> value) throws Exception {
+    private static <V> String formatPairs(Map<Integer, V> valuesByFront, Lookup<V> lookup) throws Exception {
         StringBuilder text = new StringBuilder();
-        for (Map.Entry<Integer, V> entry : of.entrySet()) {
-            text.append(entry.getKey()).append('=').append(value.of(entry.getValue())).append(' ');
+        for (Map.Entry<Integer, V> entry : valuesByFront.entrySet()) {
+            text.append(entry.getKey()).append('=').append(lookup.apply(entry.getValue())).append(' ');
         }
         return text.toString().trim();
     }
 
-    private interface Asked<V> {
-        Object of(V value) throws Exception;
+    private interface Lookup<V> {
+        Object apply(V value) throws Exception;
     }
 
-    private static Path file(Path folder, int front, String which) {
-        return folder.resolve("f" + front + "." + which + ".json");
+    private static Path configurationFile(Path directory, int front, String suffix) {
+        return directory.resolve("f" + front + "." + suffix + ".json");
     }
 
     // ---- hollow fronts
@@ -117,131 +118,131 @@
     private static final class HollowFronts implements Role {
         private final Map<Integer, HollowFront> fronts = new TreeMap<>();
         private final List<HollowFront.Loop> loops = new ArrayList<>();
-        private final ExecutorService signals = Executors.newSingleThreadExecutor(task -> {
+        private final ExecutorService reloadExecutor = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "signals");
             thread.setDaemon(true);
             return thread;
         });
-        private Path folder;
-        private double perSecond;
-        private Timetable table;
+        private Path directory;
+        private double queriesPerSecond;
+        private Timetable timetable;
 
         @Override
-        public String does(String[] words) throws Exception {
+        public String execute(String[] words) throws Exception {
             switch (words[0]) {
                 case "start" -> {
-                    folder = Path.of(words[1]);
-                    table = Timetable.read(Path.of(words[5]));
-                    perSecond = Double.parseDouble(words[4]);
+                    directory = Path.of(words[1]);
+                    timetable = Timetable.read(Path.of(words[5]));
+                    queriesPerSecond = Double.parseDouble(words[4]);
                     for (int k = 0; k < Integer.parseInt(words[3]); k++) {
                         loops.add(new HollowFront.Loop());
                     }
-                    numbers(words[2]).forEach(this::start);
+                    parseNumbers(words[2]).forEach(this::start);
                     return "";
                 }
                 case "reload" -> {
-                    fronts.forEach((k, front) -> front.reload(file(folder, k, words[1]), signals));
+                    fronts.forEach((k, front) -> front.reload(configurationFile(directory, k, words[1]), reloadExecutor));
                     return "";
                 }
                 case "kill" -> {
-                    numbers(words[1]).forEach(k -> fronts.remove(k).close());
+                    parseNumbers(words[1]).forEach(k -> fronts.remove(k).close());
                     return "";
                 }
                 case "revive" -> {
-                    numbers(words[1]).forEach(this::start);
+                    parseNumbers(words[1]).forEach(this::start);
                     return "";
                 }
                 case "force" -> {
-                    int number = Integer.parseInt(words[1]);
-                    return pairs(fronts, front -> front.inForceAt(number));
+                    int eventNumber = Integer.parseInt(words[1]);
+                    return formatPairs(fronts, front -> front.inForceAt(eventNumber));
                 }
                 case "sent" -> {
-                    return pairs(fronts, front -> front.lastSentTo(words[1]));
+                    return formatPairs(fronts, front -> front.lastSentTo(words[1]));
                 }
                 case "first" -> {
-                    return pairs(fronts, front -> front.firstSentTo(words[1]));
+                    return formatPairs(fronts, front -> front.firstSentTo(words[1]));
                 }
                 case "digest" -> {
-                    return pairs(fronts, HollowFront::digest);
+                    return formatPairs(fronts, HollowFront::digest);
                 }
                 case "logged" -> {
                     String text = words[1].replace('_', ' ');
-                    return pairs(fronts, front -> front.logged(text));
+                    return formatPairs(fronts, front -> front.logged(text));
                 }
                 case "queries" -> {
-                    return pairs(fronts, front -> Arrays.stream(front.queries()).mapToObj(Long::toString)
+                    return formatPairs(fronts, front -> Arrays.stream(front.queries()).mapToObj(Long::toString)
                             .collect(Collectors.joining("/")));
                 }
                 case "cost" -> {
                     System.gc();
-                    Runtime here = Runtime.getRuntime();
+                    Runtime runtime = Runtime.getRuntime();
                     return loops.stream().mapToLong(HollowFront.Loop::cpuNanos).sum() + " "
-                            + (here.totalMemory() - here.freeMemory());
+                            + (runtime.totalMemory() - runtime.freeMemory());
                 }
                 default -> throw new IllegalArgumentException(words[0]);
             }
         }
 
-        private void start(int k) {
-            Function<SplittableRandom, HollowFront.Draw> draws = chance -> {
-                int group = table.mix().group(chance);
-                return new HollowFront.Draw(Terms.GROUPS[group], table.mix().workMs(group, chance),
-                        table.mix().needMb(group, chance), Terms.leavesMs(table, group));
+        private void start(int front) {
+            Function<SplittableRandom, HollowFront.Draw> queryGenerator = random -> {
+                int group = timetable.mix().group(random);
+                return new HollowFront.Draw(Terms.GROUPS[group], timetable.mix().workMs(group, random),
+                        timetable.mix().needMb(group, random), Terms.leavesMs(timetable, group));
             };
-            fronts.put(k, new HollowFront(loops.get(k % loops.size()), file(folder, k, "a"), perSecond,
-                    draws));
+            fronts.put(front, new HollowFront(loops.get(front % loops.size()), configurationFile(directory, front, "a"), queriesPerSecond,
+                    queryGenerator));
         }
 
         @Override
-        public void ends() {
-            // They end with the process.
+        public void stop() {
+            // The event loop ends with the process.
         }
     }
 
-    // ---- hollow engines
+    // ---- stand-in engines
 
-    /** Each listens at an address of its own; the port is one for all. */
-    private static final class HollowEngines implements Role {
-        private static final Pattern WORK = Pattern.compile("work=([0-9.]+)");
+    /** Stand-in engines; each listens at its own loopback address, all at the same port. */
+    private static final class StandInEngines implements Role {
+        private static final Pattern WORK_MS_PATTERN = Pattern.compile("work=([0-9.]+)");
         private final MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        private final SplittableRandom chance = new SplittableRandom(1);
-        private final AtomicLong answered = new AtomicLong();
-        /** By engine, then by front: the moment of the last query. */
-        private final Map<Integer, Map<Integer, Long>> seen = new HashMap<>();
+        private final SplittableRandom random = new SplittableRandom(1);
+        private final AtomicLong answeredQueries = new AtomicLong();
+        /** Time of the last query, by engine, then by front. */
+        private final Map<Integer, Map<Integer, Long>> lastQueryNanos = new HashMap<>();
 
         @Override
-        public String does(String[] words) throws Exception {
+        public String execute(String[] words) throws Exception {
             if (words[0].equals("start")) {
-                int net = Integer.parseInt(words[1]);
+                int secondOctet = Integer.parseInt(words[1]);
                 int port = Integer.parseInt(words[2]);
                 for (int k = Integer.parseInt(words[3]); k < Integer.parseInt(words[4]); k++) {
-                    listen(k, new InetSocketAddress(address(net, k), port));
+                    listen(k, new InetSocketAddress(engineAddress(secondOctet, k), port));
                 }
                 return "";
             } else if (words[0].equals("sent")) {
                 int engine = Integer.parseInt(words[1]);
-                return group.submit(() -> pairs(seen.getOrDefault(engine, Map.of()), at -> at)).get();
+                return group.submit(() -> formatPairs(lastQueryNanos.getOrDefault(engine, Map.of()), nanos -> nanos)).get();
             }
-            return Long.toString(answered.get());
+            return Long.toString(answeredQueries.get());
         }
 
-        private void listen(int engine, InetSocketAddress at) throws InterruptedException {
+        private void listen(int engine, InetSocketAddress address) throws InterruptedException {
             new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel peer) {
                             peer.pipeline().addLast(new RedisDecoder(), new RedisBulkStringAggregator(),
-                                    new RedisArrayAggregator(), new Answers(engine));
+                                    new RedisArrayAggregator(), new EngineHandler(engine));
                         }
-                    }).bind(at).sync();
+                    }).bind(address).sync();
         }
 
-        private final class Answers extends SimpleChannelInboundHandler<ArrayRedisMessage> {
+        private final class EngineHandler extends SimpleChannelInboundHandler<ArrayRedisMessage> {
             private final int engine;
 
-            private Answers(int engine) {
+            private EngineHandler(int engine) {
                 this.engine = engine;
             }
 
@@ -256,23 +257,23 @@
                 if (words.get(0).equals("alive")) {
                     answer(ctx, id, "well", "-", "");
                 } else if (words.get(0).equals("fetch")) {
-                    seen.computeIfAbsent(engine, k -> new HashMap<>())
-                            .put(RealFronts.frontOf(id), System.nanoTime());
-                    Matcher work = WORK.matcher(words.get(3));
-                    double ms = work.find() ? Double.parseDouble(work.group(1)) : 1;
-                    long takes = Math.max(1, Math.round(ms * Math.exp(0.2 * chance.nextGaussian())));
+                    lastQueryNanos.computeIfAbsent(engine, k -> new HashMap<>())
+                            .put(RealFronts.frontOfTrace(id), System.nanoTime());
+                    Matcher workMatch = WORK_MS_PATTERN.matcher(words.get(3));
+                    double workMs = workMatch.find() ? Double.parseDouble(workMatch.group(1)) : 1;
+                    long runMs = Math.max(1, Math.round(workMs * Math.exp(0.2 * random.nextGaussian())));
                     ctx.executor().schedule(() -> {
-                        answered.incrementAndGet();
+                        answeredQueries.incrementAndGet();
                         answer(ctx, id, "data", String.format(Locale.ROOT,
-                                "sheets=1,toil=%.1f,room=10,rep=util:%.2f;x0:%.2f;queue:0", ms,
-                                chance.nextDouble() / 2, chance.nextDouble() / 2), id + "\te\trow\n");
-                    }, takes, TimeUnit.MILLISECONDS);
+                                "sheets=1,toil=%.1f,room=10,rep=util:%.2f;x0:%.2f;queue:0", workMs,
+                                random.nextDouble() / 2, random.nextDouble() / 2), id + "\te\trow\n");
+                    }, runMs, TimeUnit.MILLISECONDS);
                 }
             }
 
-            private void answer(ChannelHandlerContext ctx, String id, String word, String fields,
+            private void answer(ChannelHandlerContext ctx, String id, String command, String fields,
                                 String body) {
-                ctx.writeAndFlush(Unpooled.copiedBuffer(EngineStandIn.Command.text(id, word, fields, body),
+                ctx.writeAndFlush(Unpooled.copiedBuffer(EngineStandIn.Command.text(id, command, fields, body),
                         StandardCharsets.ISO_8859_1));
             }
 
@@ -283,49 +284,49 @@
         }
 
         @Override
-        public void ends() {
-            // They end with the process.
+        public void stop() {
+            // The event loop ends with the process.
         }
     }
 
-    /** Where an engine listens: of loopback's addresses one for each. */
-    static String address(int net, int engine) {
-        return "127." + net + "." + (engine >> 8 & 0xff) + "." + (engine & 0xff);
+    /** The loopback address at which an engine listens; unique for each engine of a run. */
+    static String engineAddress(int secondOctet, int engine) {
+        return "127." + secondOctet + "." + (engine >> 8 & 0xff) + "." + (engine & 0xff);
     }
 
     // ---- real fronts
 
     private static final class RealFronts implements Role {
         private final Map<Integer, Program> fronts = new TreeMap<>();
-        private final ExecutorService signals = Executors.newCachedThreadPool(task -> {
+        private final ExecutorService reloadExecutor = Executors.newCachedThreadPool(task -> {
             Thread thread = new Thread(task, "signals");
             thread.setDaemon(true);
             return thread;
         });
-        private final AtomicLong asked = new AtomicLong();
-        private final AtomicLong rows = new AtomicLong();
-        private final AtomicLong refused = new AtomicLong();
-        private final AtomicLong errors = new AtomicLong();
-        private final AtomicLong lost = new AtomicLong();
-        private final AtomicLong wrong = new AtomicLong();
-        private Path folder;
-        private double perSecond;
-        private Timetable table;
-        private volatile boolean asking;
-
-        /** Traces of these clients begin with the front that they ask. */
-        static int frontOf(String trace) {
+        private final AtomicLong sentRequests = new AtomicLong();
+        private final AtomicLong rowAnswers = new AtomicLong();
+        private final AtomicLong refusals = new AtomicLong();
+        private final AtomicLong errorAnswers = new AtomicLong();
+        private final AtomicLong lostAnswers = new AtomicLong();
+        private final AtomicLong wrongAnswers = new AtomicLong();
+        private Path directory;
+        private double queriesPerSecond;
+        private Timetable timetable;
+        private volatile boolean clientsRunning;
+
+        /** The front in the first four hex digits of a trace of these clients. */
+        static int frontOfTrace(String trace) {
             return Integer.parseInt(trace.substring(0, 4), 16);
         }
 
         @Override
-        public String does(String[] words) throws Exception {
+        public String execute(String[] words) throws Exception {
             switch (words[0]) {
                 case "start" -> {
-                    folder = Path.of(words[1]);
-                    perSecond = Double.parseDouble(words[3]);
-                    table = Timetable.read(Path.of(words[4]));
-                    for (int k : numbers(words[2])) {
+                    directory = Path.of(words[1]);
+                    queriesPerSecond = Double.parseDouble(words[3]);
+                    timetable = Timetable.read(Path.of(words[4]));
+                    for (int k : parseNumbers(words[2])) {
                         start(k);
                     }
                     for (Program front : List.copyOf(fronts.values())) {
@@ -334,11 +335,11 @@
                     return "";
                 }
                 case "ask" -> {
-                    asking = true;
+                    clientsRunning = true;
                     for (int k : fronts.keySet()) {
-                        for (int c = 0; c < CLIENTS; c++) {
-                            int which = c;
-                            Thread thread = new Thread(() -> asks(k, which));
+                        for (int client = 0; client < CLIENTS_PER_FRONT; client++) {
+                            int clientIndex = client;
+                            Thread thread = new Thread(() -> runClient(k, clientIndex));
                             thread.setDaemon(true);
                             thread.start();
                         }
@@ -346,87 +347,87 @@
                     return "";
                 }
                 case "quiet" -> {
-                    asking = false;
+                    clientsRunning = false;
                     return "";
                 }
                 case "reload" -> {
-                    // Each signal is a process of its own; one after another they would take seconds.
-                    List<Future<?>> told = new ArrayList<>();
-                    fronts.forEach((k, front) -> told.add(signals.submit(() -> {
-                        front.reload(Files.readString(file(folder, k, words[1])));
+                    // Each signal starts a process; sent one after another they would take seconds.
+                    List<Future<?>> reloads = new ArrayList<>();
+                    fronts.forEach((k, front) -> reloads.add(reloadExecutor.submit(() -> {
+                        front.reload(Files.readString(configurationFile(directory, k, words[1])));
                         return null;
                     })));
-                    for (Future<?> one : told) {
-                        one.get();
+                    for (Future<?> reload : reloads) {
+                        reload.get();
                     }
                     return "";
                 }
                 case "kill" -> {
-                    numbers(words[1]).forEach(k -> fronts.remove(k).close());
+                    parseNumbers(words[1]).forEach(k -> fronts.remove(k).close());
                     return "";
                 }
                 case "revive" -> {
-                    long from = System.nanoTime();
-                    for (int k : numbers(words[1])) {
+                    long startNanos = System.nanoTime();
+                    for (int k : parseNumbers(words[1])) {
                         start(k);
                     }
-                    for (int k : numbers(words[1])) {
+                    for (int k : parseNumbers(words[1])) {
                         fronts.get(k).ready();
                     }
-                    return Long.toString(System.nanoTime() - from);
+                    return Long.toString(System.nanoTime() - startNanos);
                 }
                 case "logged" -> {
                     String text = words[1].replace('_', ' ');
-                    return pairs(fronts, front -> front.log.stream().filter(l -> l.contains(text)).count());
+                    return formatPairs(fronts, front -> front.log.stream().filter(l -> l.contains(text)).count());
                 }
                 case "alive" -> {
-                    return pairs(fronts, front -> front.process.isAlive());
+                    return formatPairs(fronts, front -> front.process.isAlive());
                 }
                 default -> {
-                    return asked + " " + rows + " " + refused + " " + errors + " " + lost + " " + wrong;
+                    return sentRequests + " " + rowAnswers + " " + refusals + " " + errorAnswers + " " + lostAnswers + " " + wrongAnswers;
                 }
             }
         }
 
-        private void start(int k) throws IOException {
-            fronts.put(k, new Program(Files.readString(file(folder, k, "a"))));
+        private void start(int front) throws IOException {
+            fronts.put(front, new Program(Files.readString(configurationFile(directory, front, "a"))));
         }
 
-        private void asks(int front, int which) {
-            SplittableRandom chance = new SplittableRandom(front * 31L + which);
-            long number = which;
+        private void runClient(int front, int clientIndex) {
+            SplittableRandom random = new SplittableRandom(front * 31L + clientIndex);
+            long requestId = clientIndex;
             Client client = null;
-            boolean out = false;
-            while (asking) {
+            boolean requestOpen = false;
+            while (clientsRunning) {
                 try {
-                    Thread.sleep((long) (-Math.log(1 - chance.nextDouble()) * 1_000 * CLIENTS / perSecond));
+                    Thread.sleep((long) (-Math.log(1 - random.nextDouble()) * 1_000 * CLIENTS_PER_FRONT / queriesPerSecond));
                     Program program = fronts.get(front);
                     if (program == null) {
                         continue;
                     }
                     if (client == null) {
                         client = program.client();
-                        number = which;
+                        requestId = clientIndex;
                     }
-                    number += CLIENTS;
-                    int group = table.mix().group(chance);
-                    double work = table.mix().workMs(group, chance);
-                    String trace = String.format("%04x%012x", front, chance.nextLong() & 0xffff_ffff_ffffL);
-                    Map<String, Object> fields = Client.fields(trace, Terms.leavesMs(table, group));
-                    fields.put("weight", String.format(Locale.ROOT, "%.2f", work));
-                    asked.incrementAndGet();
-                    out = true;
+                    requestId += CLIENTS_PER_FRONT;
+                    int group = timetable.mix().group(random);
+                    double workMs = timetable.mix().workMs(group, random);
+                    String trace = String.format("%04x%012x", front, random.nextLong() & 0xffff_ffff_ffffL);
+                    Map<String, Object> fields = Client.fields(trace, Terms.leavesMs(timetable, group));
+                    fields.put("weight", String.format(Locale.ROOT, "%.2f", workMs));
+                    sentRequests.incrementAndGet();
+                    requestOpen = true;
                     String statement = String.format(Locale.ROOT, "select work=%.2f from sales_%d.orders",
-                            work, number % 9);
-                    List<?> answer = client.send(Client.pack(List.of(0, (int) number, Terms.GROUPS[group],
+                            workMs, requestId % 9);
+                    List<?> answer = client.send(Client.pack(List.of(0, (int) requestId, Terms.GROUPS[group],
                             List.of(fields, statement.getBytes(StandardCharsets.US_ASCII))))).read();
                     String text = Client.rows(answer);
-                    (text == null ? "Shed".equals(Client.error(answer)) ? refused : errors
-                            : text.equals(trace + "\te\trow\n") ? rows : wrong).incrementAndGet();
-                    out = false;
+                    (text == null ? "Shed".equals(Client.error(answer)) ? refusals : errorAnswers
+                            : text.equals(trace + "\te\trow\n") ? rowAnswers : wrongAnswers).incrementAndGet();
+                    requestOpen = false;
                 } catch (IOException e) {
-                    lost.addAndGet(out ? 1 : 0);
-                    out = false;
+                    lostAnswers.addAndGet(requestOpen ? 1 : 0);
+                    requestOpen = false;
                     client = null;
                 } catch (InterruptedException e) {
                     return;
@@ -435,7 +436,7 @@
         }
 
         @Override
-        public void ends() {
+        public void stop() {
             fronts.values().forEach(Program::close);
         }
     }
--- a/src/rig/java/reedspring/rig/scale/Figures.java
+++ b/src/rig/java/reedspring/rig/scale/Figures.java
@@ -17,7 +17,7 @@
 import org.apache.commons.csv.CSVPrinter;
 import org.apache.commons.csv.CSVRecord;
 
-/** Figures that runs gave, kept as CSV: one row a figure, the columns as {@link Figure} has them. */
+/** Reads and writes measured figures as CSV: one row for each figure, in the columns of {@link Figure}. */
 public final class Figures {
     private static final List<String> COLUMNS = List.of("run", "figure", "unit", "fronts", "engines",
             "queries_per_second", "connections", "changes_per_second", "repeat", "value");
@@ -27,48 +27,48 @@
     }
 
     /**
-     * One measured value. {@code run} is commit, command and seed in short, {@code unit} that of the value;
-     * what the run did not have is 0. {@code repeat} counts from 1.
+     * One measured value. {@code run} names commit, command and seed; {@code unit} is the unit of the value.
+     * A factor that the run did not have is 0. {@code repeat} counts from 1.
      */
     public record Figure(String run, String figure, String unit, int fronts, int engines,
             double queriesPerSecond, int connections, double changesPerSecond, int repeat, double value) {
     }
 
     /**
-     * Replaces the file as a whole: a run that is killed leaves the old one, or none.
+     * Replaces the file atomically: a run that is killed leaves the old file or none.
      *
-     * @throws IllegalArgumentException if a figure could not be read again
+     * @throws IllegalArgumentException if a figure has a blank name or a value that is not finite
      */
     public static void write(Path file, List<Figure> figures) throws IOException {
-        Path whole = file.toAbsolutePath();
-        Files.createDirectories(whole.getParent());
-        Path part = Files.createTempFile(whole.getParent(), whole.getFileName() + ".", ".part");
+        Path target = file.toAbsolutePath();
+        Files.createDirectories(target.getParent());
+        Path temporary = Files.createTempFile(target.getParent(), target.getFileName() + ".", ".part");
         try {
-            try (Writer out = Files.newBufferedWriter(part); CSVPrinter csv = new CSVPrinter(out, FORMAT)) {
+            try (Writer writer = Files.newBufferedWriter(temporary); CSVPrinter csv = new CSVPrinter(writer, FORMAT)) {
                 csv.printRecord(COLUMNS);
-                for (Figure f : figures) {
-                    if (f.run().isBlank() || f.figure().isBlank() || f.unit().isBlank()
-                            || !Double.isFinite(f.value())) {
-                        throw new IllegalArgumentException("no figure to keep: " + f);
+                for (Figure figure : figures) {
+                    if (figure.run().isBlank() || figure.figure().isBlank() || figure.unit().isBlank()
+                            || !Double.isFinite(figure.value())) {
+                        throw new IllegalArgumentException("figure can't be stored: " + figure);
                     }
-                    csv.printRecord(f.run(), f.figure(), f.unit(), f.fronts(), f.engines(),
-                            plain(f.queriesPerSecond()), f.connections(), plain(f.changesPerSecond()),
-                            f.repeat(), plain(f.value()));
+                    csv.printRecord(figure.run(), figure.figure(), figure.unit(), figure.fronts(), figure.engines(),
+                            formatNumber(figure.queriesPerSecond()), figure.connections(), formatNumber(figure.changesPerSecond()),
+                            figure.repeat(), formatNumber(figure.value()));
                 }
             }
-            Files.move(part, whole, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } finally {
-            Files.deleteIfExists(part);
+            Files.deleteIfExists(temporary);
         }
     }
 
-    /** Whole numbers without a point, all others as Java reads them again. */
-    private static String plain(double value) {
+    /** Formats whole numbers without a decimal point, all others so that parsing gives the same value. */
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.format(Locale.ROOT, "%.0f", value)
                 : Double.toString(value);
     }
 
-    /** @throws IOException naming the file, the line and the column of what can't be used */
+    /** @throws IOException with file, line and column of the first invalid value */
     public static List<Figure> read(Path file) throws IOException {
         List<Figure> figures = new ArrayList<>();
         try (Reader in = Files.newBufferedReader(file); CSVParser csv = FORMAT.parse(in)) {
@@ -76,32 +76,32 @@
             for (CSVRecord row : csv) {
                 if (figures.isEmpty() && line == 1) {
                     if (!row.toList().equals(COLUMNS)) {
-                        throw unusable(file, line, firstOther(row), "the columns are "
+                        throw invalid(file, line, firstMismatch(row), "the columns have to be "
                                 + String.join(",", COLUMNS));
                     }
                 } else {
-                    figures.add(figure(file, line, row));
+                    figures.add(parseFigure(file, line, row));
                 }
                 line = csv.getCurrentLineNumber() + 1;
             }
             if (line == 1) {
-                throw unusable(file, 1, COLUMNS.get(0), "the file is empty");
+                throw invalid(file, 1, COLUMNS.get(0), "the file is empty");
             }
         } catch (CharacterCodingException e) {
-            throw new IOException(file + ": is no UTF-8", e);
+            throw new IOException(file + ": not valid UTF-8", e);
         } catch (UncheckedIOException | IllegalStateException e) {
-            throw new IOException(file + ": is no CSV: " + e.getMessage(), e);
+            throw new IOException(file + ": not valid CSV: " + e.getMessage(), e);
         }
         return figures;
     }
 
-    /** Of a file, or of all files with the ending csv right in a folder, in the order of their names. */
-    public static List<Figure> readAll(Path from) throws IOException {
-        if (!Files.isDirectory(from)) {
-            return read(from);
+    /** Reads a file, or all files named *.csv directly in a folder, sorted by name. */
+    public static List<Figure> readAll(Path path) throws IOException {
+        if (!Files.isDirectory(path)) {
+            return read(path);
         }
         List<Figure> figures = new ArrayList<>();
-        try (Stream<Path> files = Files.list(from)) {
+        try (Stream<Path> files = Files.list(path)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".csv")).sorted().toList()) {
                 figures.addAll(read(file));
             }
@@ -109,7 +109,7 @@
         return figures;
     }
 
-    private static String firstOther(CSVRecord row) {
+    private static String firstMismatch(CSVRecord row) {
         for (int k = 0; k < COLUMNS.size(); k++) {
             if (k >= row.size() || !row.get(k).equals(COLUMNS.get(k))) {
                 return COLUMNS.get(k);
@@ -118,58 +118,58 @@
         return row.get(COLUMNS.size());
     }
 
-    private static Figure figure(Path file, long line, CSVRecord row) throws IOException {
+    private static Figure parseFigure(Path file, long line, CSVRecord row) throws IOException {
         if (row.size() != COLUMNS.size()) {
-            throw unusable(file, line, COLUMNS.get(Math.min(row.size(), COLUMNS.size() - 1)),
-                    row.size() + " fields in place of " + COLUMNS.size());
+            throw invalid(file, line, COLUMNS.get(Math.min(row.size(), COLUMNS.size() - 1)),
+                    row.size() + " fields instead of " + COLUMNS.size());
         }
-        Row r = new Row(file, line, row);
-        return new Figure(r.text(0), r.text(1), r.text(2), r.count(3), r.count(4), r.rate(5), r.count(6),
-                r.rate(7), r.count(8), r.number(9));
+        Row fields = new Row(file, line, row);
+        return new Figure(fields.text(0), fields.text(1), fields.text(2), fields.count(3), fields.count(4), fields.rate(5), fields.count(6),
+                fields.rate(7), fields.count(8), fields.number(9));
     }
 
-    private record Row(Path file, long line, CSVRecord row) {
+    private record Row(Path file, long line, CSVRecord csvRow) {
         private String text(int column) throws IOException {
-            if (row.get(column).isBlank()) {
-                throw unusable(file, line, COLUMNS.get(column), "missing");
+            if (csvRow.get(column).isBlank()) {
+                throw invalid(file, line, COLUMNS.get(column), "missing");
             }
-            return row.get(column);
+            return csvRow.get(column);
         }
 
         private int count(int column) throws IOException {
             try {
-                int count = Integer.parseInt(row.get(column));
+                int count = Integer.parseInt(csvRow.get(column));
                 if (count >= 0) {
                     return count;
                 }
             } catch (NumberFormatException e) {
-                // told below, with what is negative
+                // reported below, like a negative number
             }
-            throw unusable(file, line, COLUMNS.get(column), "'" + row.get(column) + "' is no count");
+            throw invalid(file, line, COLUMNS.get(column), "'" + csvRow.get(column) + "' is not a count");
         }
 
         private double rate(int column) throws IOException {
             double rate = number(column);
             if (rate < 0) {
-                throw unusable(file, line, COLUMNS.get(column), "'" + row.get(column) + "' is no rate");
+                throw invalid(file, line, COLUMNS.get(column), "'" + csvRow.get(column) + "' is not a rate");
             }
             return rate;
         }
 
         private double number(int column) throws IOException {
             try {
-                double number = Double.parseDouble(row.get(column));
+                double number = Double.parseDouble(csvRow.get(column));
                 if (Double.isFinite(number)) {
                     return number;
                 }
             } catch (NumberFormatException e) {
-                // told below, with what is not finite
+                // reported below, like a number that is not finite
             }
-            throw unusable(file, line, COLUMNS.get(column), "'" + row.get(column) + "' is no number");
+            throw invalid(file, line, COLUMNS.get(column), "'" + csvRow.get(column) + "' is not a number");
         }
     }
 
-    private static IOException unusable(Path file, long line, String column, String why) {
-        return new IOException(file + ":" + line + ": " + column + ": " + why);
+    private static IOException invalid(Path file, long line, String column, String reason) {
+        return new IOException(file + ":" + line + ": " + column + ": " + reason);
     }
 }
--- a/src/rig/java/reedspring/rig/scale/Fit.java
+++ b/src/rig/java/reedspring/rig/scale/Fit.java
@@ -11,74 +11,76 @@
 import reedspring.rig.scale.Figures.Figure;
 
 /**
- * A law through measured points by least squares: {@code scale * x^power}, or a line {@code base + slope
- * * x}. The residual of a power law is the factor by which the points usually miss it (1.1: a tenth), that of
- * a line the usual miss in the figure's own unit.
+ * A least squares fit through measured points: a power law {@code base * x^slope} or a line
+ * {@code base + slope * x}. The residual is the root mean square error: for a power law as a factor (1.1 is a
+ * tenth), for a line in the unit of the figure.
  */
-public record Fit(boolean power, double base, double slope, double residual) {
-    /** Least, middle and greatest of the repeats at one place; of an even count the lower middle. */
-    public record Spread(double least, double median, double most, int repeats) {
-        /** By a factor, from its least value on. */
-        static Map<Double, Spread> by(Stream<Figure> figures, ToDoubleFunction<Figure> factor) {
-            Map<Double, Spread> places = new TreeMap<>();
-            figures.collect(Collectors.groupingBy(factor::applyAsDouble)).forEach((place, same) ->
-                    places.put(place, of(same.stream().mapToDouble(Figure::value).toArray())));
-            return places;
+public record Fit(boolean powerLaw, double base, double slope, double residual) {
+    /** Minimum, median and maximum of repeated measurements; of an even number, the lower of the two medians. */
+    public record Summary(double min, double median, double max, int repeats) {
+        /** Summarises figures by the value of a factor, in ascending order. */
+        static Map<Double, Summary> byFactor(Stream<Figure> figures, ToDoubleFunction<Figure> factor) {
+            Map<Double, Summary> summaries = new TreeMap<>();
+            figures.collect(Collectors.groupingBy(factor::applyAsDouble)).forEach((factorValue, repeated) ->
+                    summaries.put(factorValue, of(repeated.stream().mapToDouble(Figure::value).toArray())));
+            return summaries;
         }
 
-        static Spread of(double... values) {
+        static Summary of(double... values) {
             if (values.length == 0) {
-                throw new IllegalArgumentException("no repeat");
+                throw new IllegalArgumentException("no values to summarise");
             }
             double[] sorted = values.clone();
             Arrays.sort(sorted);
-            return new Spread(sorted[0], sorted[(sorted.length - 1) / 2], sorted[sorted.length - 1],
+            return new Summary(sorted[0], sorted[(sorted.length - 1) / 2], sorted[sorted.length - 1],
                     sorted.length);
         }
     }
 
-    /** Through points over 0, by the logs of both. {@code base} is the scale, {@code slope} the power. */
-    public static Fit power(double[] x, double[] y) {
-        double[] logX = Arrays.stream(x).map(Fit::positive).map(Math::log).toArray();
-        double[] logY = Arrays.stream(y).map(Fit::positive).map(Math::log).toArray();
-        SimpleRegression law = through(logX, logY);
-        return new Fit(true, Math.exp(law.getIntercept()), law.getSlope(), Math.exp(miss(law, logX.length)));
+    /** Fits a power law by linear regression of the logarithms; all coordinates have to be above 0. */
+    public static Fit powerLaw(double[] x, double[] y) {
+        double[] logX = Arrays.stream(x).map(Fit::requirePositive).map(Math::log).toArray();
+        double[] logY = Arrays.stream(y).map(Fit::requirePositive).map(Math::log).toArray();
+        SimpleRegression regression = regression(logX, logY);
+        return new Fit(true, Math.exp(regression.getIntercept()), regression.getSlope(), Math.exp(rootMeanSquareError(regression, logX.length)));
     }
 
+    /** Fits a line. */
     public static Fit line(double[] x, double[] y) {
-        SimpleRegression law = through(x, y);
-        return new Fit(false, law.getIntercept(), law.getSlope(), miss(law, x.length));
+        SimpleRegression regression = regression(x, y);
+        return new Fit(false, regression.getIntercept(), regression.getSlope(), rootMeanSquareError(regression, x.length));
     }
 
-    private static double positive(double value) {
+    private static double requirePositive(double value) {
         if (!(value > 0)) {
-            throw new IllegalArgumentException("a power law goes through no point at " + value);
+            throw new IllegalArgumentException("a power law can't be fitted through a value of " + value);
         }
         return value;
     }
 
-    private static SimpleRegression through(double[] x, double[] y) {
+    private static SimpleRegression regression(double[] x, double[] y) {
         if (x.length != y.length || Arrays.stream(x).distinct().count() < 2) {
-            throw new IllegalArgumentException("a law needs two places at least");
+            throw new IllegalArgumentException("a fit needs as many y as x, and at least two different x");
         }
-        SimpleRegression law = new SimpleRegression();
+        SimpleRegression regression = new SimpleRegression();
         for (int k = 0; k < x.length; k++) {
-            law.addData(x[k], y[k]);
+            regression.addData(x[k], y[k]);
         }
-        return law;
+        return regression;
     }
 
-    private static double miss(SimpleRegression law, int points) {
-        return Math.sqrt(Math.max(0, law.getSumSquaredErrors()) / points);
+    private static double rootMeanSquareError(SimpleRegression regression, int points) {
+        return Math.sqrt(Math.max(0, regression.getSumSquaredErrors()) / points);
     }
 
-    public double at(double x) {
-        return power ? base * Math.pow(x, slope) : base + slope * x;
+    /** The fitted value at {@code x}. */
+    public double valueAt(double x) {
+        return powerLaw ? base * Math.pow(x, slope) : base + slope * x;
     }
 
     @Override
     public String toString() {
-        return power ? String.format(Locale.ROOT, "%.3g x^%.2f, within %.2f times", base, slope, residual)
+        return powerLaw ? String.format(Locale.ROOT, "%.3g x^%.2f, within %.2f times", base, slope, residual)
                 : String.format(Locale.ROOT, "%.3g + %.3g x, within %.2g", base, slope, residual);
     }
 }
--- a/src/rig/java/reedspring/rig/scale/JournalService.java
+++ b/src/rig/java/reedspring/rig/scale/JournalService.java
@@ -38,123 +38,124 @@
 import reedspring.rig.JournalStandIn;
 
 /**
- * The journal service for thousands of watchers, on one loop. Its protocol and events are {@link
- * JournalStandIn}'s: numbered events, the whole list to who has nothing, then changes, a comment each second.
- * A watcher is known by the address that it calls: it has two, and is told by its configuration which.
+ * A stand-in of the journal service for thousands of watchers, on one event loop. It has the protocol and event
+ * format of {@link JournalStandIn}: numbered events, the complete list for a watcher without a position, then
+ * changes, and a comment each second. A watcher is identified by the address that it connects to; it has two,
+ * and its configuration names one of them.
  *
- * <p>What a watcher is owed goes out in turn, one event each time round, at so many bytes a second for all
- * together. Who reads slowly is passed over while its socket is full: nothing is queued for it beyond one
- * event, and past {@link #KEPT} events it is given the whole list again. Whole lists are made once a second
- * at most, and shared; a watcher that takes nothing for {@link #STALL_S} is cut off.
+ * <p>Pending events are sent round robin, one event per connection and turn, within a byte rate for all
+ * connections together. A slow reader is skipped while its socket is full: at most one event is queued for it,
+ * and once it is more than {@link #KEPT} events behind it gets the complete list again. Complete lists are built
+ * at most once a second and shared. A connection that reads nothing for {@link #STALL_S} seconds is closed.
  */
 final class JournalService implements Closeable {
-    static final int ADDRESSES = 2;
-    private static final int KEPT = 16_384;
-    private static final int SOCKET_BYTES = 1 << 16;
+    static final int ADDRESSES_PER_WATCHER = 2;
+    private static final int KEPT_EVENTS = 16_384;
+    private static final int SEND_BUFFER_BYTES = 1 << 16;
     private static final int TICK_MS = 10;
-    private static final int STALL_S = 10;
-    private static final long SECOND = 1_000_000_000L;
-    private static final long MOST_RUN_S = 3_600;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n";
+    private static final int STALL_TIMEOUT_S = 10;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long MAX_RUN_S = 3_600;
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n";
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final long thread = on(() -> Thread.currentThread().getId());
+    private final long loopThreadId = onLoop(() -> Thread.currentThread().getId());
     private final long startedAt = System.nanoTime();
     private final long bytesPerSecond;
     private final Map<String, String> rows = new LinkedHashMap<>();
-    private final ArrayDeque<ByteBuf> kept = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuf> keptEvents = new ArrayDeque<>();
     private final List<Watcher> watchers = new ArrayList<>();
-    private final ArrayDeque<Call> owed = new ArrayDeque<>();
-    private final int[] callsBy = new int[(int) (MOST_RUN_S * 1000 / TICK_MS)];
-    private final long[] bytesBy = new long[callsBy.length];
-    private int number;
+    private final ArrayDeque<Stream> sendQueue = new ArrayDeque<>();
+    private final int[] requestsBySlot = new int[(int) (MAX_RUN_S * 1000 / TICK_MS)];
+    private final long[] bytesBySlot = new long[requestsBySlot.length];
+    private int lastEventNumber;
     private ByteBuf snapshot = Unpooled.EMPTY_BUFFER;
     private int snapshotNumber;
-    private long snapshotAt;
-    private long allowance;
+    private long snapshotNanos;
+    private long byteBudget;
     private long digest;
-    private boolean away;
+    private boolean unavailable;
     private String fault;
 
-    /** One front as this service knows it, over its calls. */
+    /** One front, across all its connections. */
     private final class Watcher {
-        private final int at;
-        private final Channel[] listening = new Channel[ADDRESSES];
-        private final InetSocketAddress[] addresses = new InetSocketAddress[ADDRESSES];
-        private final Set<Call> calls = new LinkedHashSet<>();
-        /** The address and moment of each call, since they were last asked for. */
-        private final List<long[]> called = new ArrayList<>();
-        private long messages;
-        private long bytes;
-        private boolean cut;
-
-        private Watcher(int at) {
-            this.at = at;
+        private final int index;
+        private final Channel[] serverChannels = new Channel[ADDRESSES_PER_WATCHER];
+        private final InetSocketAddress[] addresses = new InetSocketAddress[ADDRESSES_PER_WATCHER];
+        private final Set<Stream> streams = new LinkedHashSet<>();
+        /** Address index and time of each request of this watcher. */
+        private final List<long[]> requests = new ArrayList<>();
+        private long sentEvents;
+        private long sentBytes;
+        private boolean linkDown;
+
+        private Watcher(int index) {
+            this.index = index;
         }
 
-        private void listen(int which) {
-            ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        private void listen(int addressIndex) {
+            ChannelFuture binding = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 16)
                     .childOption(ChannelOption.TCP_NODELAY, true)
-                    // Else the kernel takes a whole list for each watcher that reads slowly.
-                    .childOption(ChannelOption.SO_SNDBUF, SOCKET_BYTES)
+                    // A larger buffer would let the kernel hold a complete list for each slow reader.
+                    .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
                     .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(1, 2))
                     .handler(new ChannelInboundHandlerAdapter() {
                         @Override
                         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                            fault = "the journal service can't accept a connection: " + cause.getMessage();
+                            fault = "journal service: accepting a connection failed: " + cause.getMessage();
                         }
                     })
                     .childHandler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel peer) {
                             peer.pipeline().addLast(new HttpRequestDecoder(),
-                                    new Call(Watcher.this, which, peer));
+                                    new Stream(Watcher.this, addressIndex, peer));
                         }
-                    }).bind(addresses[which] == null
-                            ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0) : addresses[which]);
-            listening[which] = bound.channel();
-            bound.addListener(done -> fault = done.isSuccess() ? fault
-                    : "the journal service can't listen for watcher " + at + ": "
-                            + done.cause().getMessage());
+                    }).bind(addresses[addressIndex] == null
+                            ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0) : addresses[addressIndex]);
+            serverChannels[addressIndex] = binding.channel();
+            binding.addListener(result -> fault = result.isSuccess() ? fault
+                    : "journal service: bind failed for watcher " + index + ": "
+                            + result.cause().getMessage());
         }
     }
 
-    /** One call, from its connection until its end. */
-    private final class Call extends ChannelInboundHandlerAdapter {
+    /** One connection of a watcher and the event stream on it. */
+    private final class Stream extends ChannelInboundHandlerAdapter {
         private final Watcher watcher;
-        private final int which;
+        private final int addressIndex;
         private final Channel peer;
-        private int position = -1;
+        private int lastSentEvent = -1;
         private boolean queued;
-        private long takesSince;
-        private long pending;
+        private long lastProgressNanos;
+        private long previousPendingBytes;
 
-        private Call(Watcher watcher, int which, Channel peer) {
+        private Stream(Watcher watcher, int addressIndex, Channel peer) {
             this.watcher = watcher;
-            this.which = which;
+            this.addressIndex = addressIndex;
             this.peer = peer;
-            watcher.calls.add(this);
-            peer.config().setAutoRead(!watcher.cut);
+            watcher.streams.add(this);
+            peer.config().setAutoRead(!watcher.linkDown);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
                 if (message instanceof HttpRequest request) {
-                    String from = request.headers().get("Last-Event-ID", "0");
-                    if (!request.uri().equals("/journal") || !from.matches("[0-9]{1,9}")) {
+                    String lastEventId = request.headers().get("Last-Event-ID", "0");
+                    if (!request.uri().equals("/journal") || !lastEventId.matches("[0-9]{1,9}")) {
                         ctx.close();
                         return;
                     }
-                    callsBy[slot()]++;
-                    watcher.called.add(new long[] {which, System.nanoTime()});
-                    position = Integer.parseInt(from);
-                    takesSince = System.nanoTime();
-                    send(Unpooled.copiedBuffer(HEAD, StandardCharsets.US_ASCII));
-                    owe(this);
+                    requestsBySlot[slot()]++;
+                    watcher.requests.add(new long[] {addressIndex, System.nanoTime()});
+                    lastSentEvent = Integer.parseInt(lastEventId);
+                    lastProgressNanos = System.nanoTime();
+                    send(Unpooled.copiedBuffer(RESPONSE_HEAD, StandardCharsets.US_ASCII));
+                    enqueue(this);
                 }
             } finally {
                 ReferenceCountUtil.release(message);
@@ -162,81 +163,82 @@
         }
 
         private void send(ByteBuf text) {
-            watcher.bytes += text.readableBytes();
-            bytesBy[slot()] += text.readableBytes();
+            watcher.sentBytes += text.readableBytes();
+            bytesBySlot[slot()] += text.readableBytes();
             peer.writeAndFlush(text);
         }
 
-        /** Bytes of the next event, if it may go now. */
-        private int next() {
+        /** Sends the next event if the connection can take it; returns its bytes, or 0. */
+        private int sendNext() {
             queued = false;
-            if (!peer.isActive() || watcher.cut || position >= number) {
+            if (!peer.isActive() || watcher.linkDown || lastSentEvent >= lastEventNumber) {
                 return 0;
             }
             if (!peer.isWritable()) {
-                owe(this);
+                enqueue(this);
                 return 0;
             }
-            int first = number - kept.size() + 1;
+            int firstKeptNumber = lastEventNumber - keptEvents.size() + 1;
             ByteBuf event;
-            if (position == 0 || position < first - 1) {
-                event = snapshot(first);
-                position = snapshotNumber;
+            if (lastSentEvent == 0 || lastSentEvent < firstKeptNumber - 1) {
+                event = snapshot(firstKeptNumber);
+                lastSentEvent = snapshotNumber;
             } else {
-                event = event(++position - first);
+                event = keptEvent(++lastSentEvent - firstKeptNumber);
             }
-            watcher.messages++;
+            watcher.sentEvents++;
             int bytes = event.readableBytes();
             send(event.retainedDuplicate());
-            owe(this);
+            enqueue(this);
             return bytes;
         }
 
-        private long waits() {
+        private long pendingBytes() {
             return peer.unsafe().outboundBuffer() == null ? 0
                     : peer.unsafe().outboundBuffer().totalPendingWriteBytes();
         }
 
-        private void look(long now) {
-            long waits = waits();
-            if (waits == 0 || waits != pending || watcher.cut) {
-                takesSince = now;
+        /** Sends a keep-alive comment, or closes the connection if it has made no progress for too long. */
+        private void checkProgress(long now) {
+            long pendingBytes = pendingBytes();
+            if (pendingBytes == 0 || pendingBytes != previousPendingBytes || watcher.linkDown) {
+                lastProgressNanos = now;
             }
-            pending = waits;
-            if (now - takesSince > STALL_S * SECOND) {
+            previousPendingBytes = pendingBytes;
+            if (now - lastProgressNanos > STALL_TIMEOUT_S * NANOS_PER_SECOND) {
                 peer.close();
-            } else if (position >= 0 && waits == 0 && !watcher.cut) {
+            } else if (lastSentEvent >= 0 && pendingBytes == 0 && !watcher.linkDown) {
                 send(Unpooled.copiedBuffer(":\n", StandardCharsets.US_ASCII));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            watcher.calls.remove(this);
+            watcher.streams.remove(this);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                fault = "the journal service failed: " + cause;
+                fault = "journal service: unexpected exception: " + cause;
             }
             ctx.close();
         }
     }
 
-    /** @param bytesPerSecond what all events together may take; comments are not counted against it */
+    /** @param bytesPerSecond limit for all events together; comments don't count towards it */
     JournalService(long bytesPerSecond) {
         this.bytesPerSecond = bytesPerSecond;
-        loop.scheduleAtFixedRate(this::pace, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::sendWithinBudget, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(() -> {
             long now = System.nanoTime();
-            watchers.forEach(watcher -> List.copyOf(watcher.calls).forEach(call -> call.look(now)));
+            watchers.forEach(watcher -> List.copyOf(watcher.streams).forEach(call -> call.checkProgress(now)));
         }, 500, 1_000, TimeUnit.MILLISECONDS);
     }
 
-    private <T> T on(Callable<T> what) {
+    private <T> T onLoop(Callable<T> task) {
         try {
-            return loop.submit(what).get(60, TimeUnit.SECONDS);
+            return loop.submit(task).get(60, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw new IllegalStateException(e.getCause().toString(), e.getCause());
         } catch (Exception e) {
@@ -245,124 +247,125 @@
     }
 
     private int slot() {
-        return (int) ((System.nanoTime() - startedAt) / 1_000_000 / TICK_MS % callsBy.length);
+        return (int) ((System.nanoTime() - startedAt) / 1_000_000 / TICK_MS % requestsBySlot.length);
     }
 
-    private void owe(Call call) {
+    private void enqueue(Stream call) {
         if (!call.queued) {
             call.queued = true;
-            owed.add(call);
+            sendQueue.add(call);
         }
     }
 
-    /** An allowance that was not used is kept for a tenth of a second. */
-    private void pace() {
-        allowance = Math.min(bytesPerSecond / 10, allowance + bytesPerSecond * TICK_MS / 1000);
-        for (int left = owed.size(); left > 0 && allowance > 0; left--) {
-            int sent = owed.poll().next();
-            allowance -= sent;
-            left = sent > 0 ? Math.max(left, owed.size()) : left;
+    /** Sends pending events within the byte budget; unused budget accumulates for a tenth of a second at most. */
+    private void sendWithinBudget() {
+        byteBudget = Math.min(bytesPerSecond / 10, byteBudget + bytesPerSecond * TICK_MS / 1000);
+        for (int remaining = sendQueue.size(); remaining > 0 && byteBudget > 0; remaining--) {
+            int sentBytes = sendQueue.poll().sendNext();
+            byteBudget -= sentBytes;
+            remaining = sentBytes > 0 ? Math.max(remaining, sendQueue.size()) : remaining;
         }
     }
 
-    private ByteBuf event(int index) {
-        // The newest are asked for most.
-        if (index == kept.size() - 1) {
-            return kept.getLast();
+    private ByteBuf keptEvent(int index) {
+        // Fast path: most connections need the newest event.
+        if (index == keptEvents.size() - 1) {
+            return keptEvents.getLast();
         }
-        return kept.stream().skip(index).findFirst().orElseThrow();
+        return keptEvents.stream().skip(index).findFirst().orElseThrow();
     }
 
-    private ByteBuf snapshot(int first) {
+    private ByteBuf snapshot(int firstKeptNumber) {
         long now = System.nanoTime();
-        if (snapshotNumber < first - 1 || snapshotNumber == 0
-                || snapshotNumber < number && now - snapshotAt > SECOND) {
+        if (snapshotNumber < firstKeptNumber - 1 || snapshotNumber == 0
+                || snapshotNumber < lastEventNumber && now - snapshotNanos > NANOS_PER_SECOND) {
             snapshot.release();
-            snapshot = text(number, true, rows.values().toArray(String[]::new));
-            snapshotNumber = number;
-            snapshotAt = now;
+            snapshot = eventText(lastEventNumber, true, rows.values().toArray(String[]::new));
+            snapshotNumber = lastEventNumber;
+            snapshotNanos = now;
         }
         return snapshot;
     }
 
-    private static ByteBuf text(int number, boolean whole, String... hosts) {
+    private static ByteBuf eventText(int number, boolean whole, String... hosts) {
         return Unpooled.copiedBuffer("id: " + number + "\ndata: " + JournalStandIn.event(number, whole, hosts)
                 + "\n\n", StandardCharsets.UTF_8);
     }
 
-    /** One engine's row of the list. */
+    /** The list entry of one engine. */
     record Row(String engine, String address, String zone, String kind, String health, long bornMs) {
-        String text() {
+        String toJson() {
             return JournalStandIn.host(engine, address, zone, kind, health, bornMs);
         }
     }
 
-    /** The next event, with these changes; its number. It counts as told when this returns. */
-    int tell(List<Row> changes) {
-        return on(() -> {
-            changes.forEach(this::take);
-            number++;
-            kept.add(text(number, false, changes.stream().map(Row::text).toArray(String[]::new)));
-            if (kept.size() > KEPT) {
-                kept.poll().release();
+    /** Publishes an event with these changes and returns its number; it can be sent from then on. */
+    int publish(List<Row> changes) {
+        return onLoop(() -> {
+            changes.forEach(this::apply);
+            lastEventNumber++;
+            keptEvents.add(eventText(lastEventNumber, false, changes.stream().map(Row::toJson).toArray(String[]::new)));
+            if (keptEvents.size() > KEPT_EVENTS) {
+                keptEvents.poll().release();
             }
-            watchers.forEach(watcher -> watcher.calls.stream().filter(call -> call.position >= 0)
-                    .forEach(this::owe));
-            return number;
+            watchers.forEach(watcher -> watcher.streams.stream().filter(call -> call.lastSentEvent >= 0)
+                    .forEach(this::enqueue));
+            return lastEventNumber;
         });
     }
 
-    private void take(Row row) {
+    private void apply(Row row) {
         boolean gone = row.health.equals("gone");
-        String before = gone ? rows.remove(row.engine) : rows.put(row.engine, row.text());
+        String previousJson = gone ? rows.remove(row.engine) : rows.put(row.engine, row.toJson());
         digest += (gone ? 0 : digest(row.engine, row.health.equals("ready")))
-                - (before == null ? 0 : digest(row.engine, before.contains("\"health\":\"ready\"")));
+                - (previousJson == null ? 0 : digest(row.engine, previousJson.contains("\"health\":\"ready\"")));
     }
 
     private static long digest(String engine, boolean up) {
         return HollowFront.digest(HollowFront.digestText(engine, up));
     }
 
-    /** What {@link HollowFront#digest()} has to be where all that was told is in force. */
+    /** The value of {@link HollowFront#digest()} at a front where all published events are in force. */
     long digest() {
-        return on(() -> digest);
+        return onLoop(() -> digest);
     }
 
-    /** The whole list as an event, for what a configuration knows. */
+    /** The complete list as an event, for the {@code known} section of a configuration. */
     String known() {
-        return on(() -> JournalStandIn.event(number, true, rows.values().toArray(String[]::new)));
+        return onLoop(() -> JournalStandIn.event(lastEventNumber, true, rows.values().toArray(String[]::new)));
     }
 
-    int number() {
-        return on(() -> number);
+    /** Number of the last published event. */
+    int lastEventNumber() {
+        return onLoop(() -> lastEventNumber);
     }
 
-    /** Where one more watcher calls, by its two addresses. Watchers count from 0. */
-    List<String> watcher() {
-        Watcher made = on(() -> {
+    /** Adds a watcher and returns its two addresses. Watchers are numbered from 0. */
+    List<String> addWatcher() {
+        Watcher added = onLoop(() -> {
             Watcher watcher = new Watcher(watchers.size());
             watchers.add(watcher);
-            for (int which = 0; which < ADDRESSES; which++) {
-                watcher.listen(which);
+            for (int addressIndex = 0; addressIndex < ADDRESSES_PER_WATCHER; addressIndex++) {
+                watcher.listen(addressIndex);
             }
             return watcher;
         });
         List<String> addresses = new ArrayList<>();
-        for (int which = 0; which < ADDRESSES; which++) {
-            Channel bound = made.listening[which];
-            if (on(() -> bound.localAddress() == null)) {
+        for (int addressIndex = 0; addressIndex < ADDRESSES_PER_WATCHER; addressIndex++) {
+            Channel channel = added.serverChannels[addressIndex];
+            if (onLoop(() -> channel.localAddress() == null)) {
                 throw new IllegalStateException(fault());
             }
-            made.addresses[which] = (InetSocketAddress) bound.localAddress();
-            addresses.add("127.0.0.1:" + made.addresses[which].getPort());
+            added.addresses[addressIndex] = (InetSocketAddress) channel.localAddress();
+            addresses.add("127.0.0.1:" + added.addresses[addressIndex].getPort());
         }
         return addresses;
     }
 
-    /** Its process has ended: so do its connections. */
-    void drops(int watcher) {
-        on(() -> {
-            List.copyOf(watchers.get(watcher).calls).forEach(call -> reset(call.peer));
+    /** Resets the connections of a watcher whose process was killed. */
+    void resetConnections(int watcher) {
+        onLoop(() -> {
+            List.copyOf(watchers.get(watcher).streams).forEach(call -> reset(call.peer));
             return null;
         });
     }
@@ -375,19 +378,19 @@
     }
 
     /**
-     * While cut, nothing of a watcher is read and nothing goes out to it, nobody is told. Unlike with a link
-     * that is cut, a new call's handshake is completed by the kernel, so that it takes the front a little
-     * longer to give it up.
+     * Simulates a cut link to some watchers: nothing is read from them or sent to them, and no connection is
+     * closed. Unlike with a link that is really cut, the kernel completes the handshake of a new connection, so
+     * that the front takes a little longer to give it up.
      */
-    void cut(Set<Integer> which, boolean cut) {
-        on(() -> {
-            for (int k : which) {
+    void setLinkDown(Set<Integer> indexes, boolean down) {
+        onLoop(() -> {
+            for (int k : indexes) {
                 Watcher watcher = watchers.get(k);
-                watcher.cut = cut;
-                watcher.calls.forEach(call -> {
-                    call.peer.config().setAutoRead(!cut);
-                    if (!cut && call.position >= 0) {
-                        owe(call);
+                watcher.linkDown = down;
+                watcher.streams.forEach(call -> {
+                    call.peer.config().setAutoRead(!down);
+                    if (!down && call.lastSentEvent >= 0) {
+                        enqueue(call);
                     }
                 });
             }
@@ -395,72 +398,72 @@
         });
     }
 
-    /** Away: nobody listens, and all connections are reset, as when the service's process ends. */
-    void away(boolean now) {
-        on(() -> {
-            if (away != now) {
-                away = now;
+    /** Simulates the end of the service's process: stops listening and resets all connections, or listens again. */
+    void setUnavailable(boolean nowUnavailable) {
+        onLoop(() -> {
+            if (unavailable != nowUnavailable) {
+                unavailable = nowUnavailable;
                 for (Watcher watcher : watchers) {
-                    for (int which = 0; which < ADDRESSES; which++) {
-                        if (now) {
-                            watcher.listening[which].close();
+                    for (int addressIndex = 0; addressIndex < ADDRESSES_PER_WATCHER; addressIndex++) {
+                        if (nowUnavailable) {
+                            watcher.serverChannels[addressIndex].close();
                         } else {
-                            watcher.listen(which);
+                            watcher.listen(addressIndex);
                         }
                     }
-                    List.copyOf(watcher.calls).forEach(call -> reset(call.peer));
+                    List.copyOf(watcher.streams).forEach(call -> reset(call.peer));
                 }
             }
             return null;
         });
-        // A bind is a task of the loop's own, behind the one above: who calls right after this must be heard.
-        on(() -> null);
+        // The bind runs as a later task of the loop; wait for it, so that a connect right after this succeeds.
+        onLoop(() -> null);
     }
 
-    /** Calls of a watcher since a moment, as address and moment, in order. */
-    List<long[]> calledSince(int watcher, long since) {
-        return on(() -> watchers.get(watcher).called.stream().filter(call -> call[1] >= since).toList());
+    /** Requests of a watcher since a time, in order, each as address index and time. */
+    List<long[]> requestsSince(int watcher, long sinceNanos) {
+        return onLoop(() -> watchers.get(watcher).requests.stream().filter(call -> call[1] >= sinceNanos).toList());
     }
 
-    /** Which watchers have an open call, and all that was told has gone out to them. */
-    Set<Integer> inStep() {
-        return on(() -> {
-            Set<Integer> set = new LinkedHashSet<>();
-            watchers.stream().filter(watcher -> watcher.calls.stream().anyMatch(call ->
-                    call.position >= number && call.peer.isActive() && call.waits() == 0))
-                    .forEach(watcher -> set.add(watcher.at));
-            return set;
+    /** Watchers with an open connection to which all published events were sent. */
+    Set<Integer> upToDateWatchers() {
+        return onLoop(() -> {
+            Set<Integer> upToDate = new LinkedHashSet<>();
+            watchers.stream().filter(watcher -> watcher.streams.stream().anyMatch(call ->
+                    call.lastSentEvent >= lastEventNumber && call.peer.isActive() && call.pendingBytes() == 0))
+                    .forEach(watcher -> upToDate.add(watcher.index));
+            return upToDate;
         });
     }
 
-    /** Most calls in any 100 ms and most bytes in any second from a moment to another. */
-    long[] peaks(long from, long to) {
-        int first = (int) ((from - startedAt) / 1_000_000 / TICK_MS);
-        int last = (int) ((to - startedAt) / 1_000_000 / TICK_MS);
-        return on(() -> {
-            long calls = 0;
-            long bytes = 0;
-            for (int k = first; k <= last; k++) {
-                calls = Math.max(calls, Arrays.stream(callsBy, k, Math.min(k + 10, callsBy.length)).sum());
-                bytes = Math.max(bytes, Arrays.stream(bytesBy, k, Math.min(k + 100, bytesBy.length)).sum());
+    /** Greatest number of requests in any 100 ms, and of bytes in any second, between two times. */
+    long[] peakLoad(long fromNanos, long toNanos) {
+        int firstSlot = (int) ((fromNanos - startedAt) / 1_000_000 / TICK_MS);
+        int lastSlot = (int) ((toNanos - startedAt) / 1_000_000 / TICK_MS);
+        return onLoop(() -> {
+            long maxRequests = 0;
+            long maxBytes = 0;
+            for (int k = firstSlot; k <= lastSlot; k++) {
+                maxRequests = Math.max(maxRequests, Arrays.stream(requestsBySlot, k, Math.min(k + 10, requestsBySlot.length)).sum());
+                maxBytes = Math.max(maxBytes, Arrays.stream(bytesBySlot, k, Math.min(k + 100, bytesBySlot.length)).sum());
             }
-            return new long[] {calls, bytes};
+            return new long[] {maxRequests, maxBytes};
         });
     }
 
-    /** Messages and bytes of each watcher so far. */
+    /** Events and bytes sent to each watcher so far. */
     long[][] counts() {
-        return on(() -> watchers.stream().map(w -> new long[] {w.messages, w.bytes}).toArray(long[][]::new));
+        return onLoop(() -> watchers.stream().map(w -> new long[] {w.sentEvents, w.sentBytes}).toArray(long[][]::new));
     }
 
-    /** Processor time of its thread so far, in nanoseconds. */
+    /** CPU time of the event loop's thread so far. */
     long cpuNanos() {
-        return ManagementFactory.getThreadMXBean().getThreadCpuTime(thread);
+        return ManagementFactory.getThreadMXBean().getThreadCpuTime(loopThreadId);
     }
 
-    /** What went wrong in it, or null. */
+    /** The last internal error of the service, or null. */
     String fault() {
-        return on(() -> fault);
+        return onLoop(() -> fault);
     }
 
     @Override
--- a/src/rig/java/reedspring/rig/scale/Page.java
+++ b/src/rig/java/reedspring/rig/scale/Page.java
@@ -12,21 +12,24 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import reedspring.rig.scale.Figures.Figure;
-import reedspring.rig.scale.Fit.Spread;
+import reedspring.rig.scale.Fit.Summary;
 
-/** The tables of docs/CAPACITY.md from the kept figures: measured, worked out at size, what does not fit. */
+/**
+ * Generates the tables of docs/CAPACITY.md from the kept figures: what was measured, what that makes at the target
+ * size (the deployment expected in two years), and which budgets that exceeds.
+ */
 public final class Page {
     public static final Path RESULTS = Path.of("bench/results");
     private static final String BEGIN = "<!-- bench/scale --page: begin -->\n";
     private static final String END = "<!-- bench/scale --page: end -->\n";
 
-    // The size in two years, and what is told of its days.
+    // The target size, and the load that is expected at it.
     private static final int ENGINES = 25_000;
     private static final double QUERIES = 6_100_000.0 / Slopes.FRONTS;
     private static final double CONNECTIONS = 16_000_000.0 / Slopes.FRONTS;
     private static final double DAY = 86_400;
     private static final double CONFIGURATIONS = 14_000 / DAY;
-    /** Draining, gone and ready again; gone and ready; gone and ready. */
+    /** Replacements (draining, gone, ready), and two kinds of loss (gone, ready). */
     private static final double ROWS_A_DAY = 2_500 * 3 + 37 * 2 + 66 * 2;
     private static final double ROWS_IN_THE_MINUTE = 250 * 3;
     private static final double RACK = ENGINES / 50.0;
@@ -38,10 +41,10 @@
     private static final double CONFIGURATION_S = 11;
     private static final double READY_S = 10;
     private static final double MEMORY_MB = Slopes.MEMORY_MB;
-    /** Of the run line: seven twenty-fourths of the memory. */
+    /** The heap that the start command of the deployment gives: 7/24 of the memory. */
     private static final double HEAP_MB = Math.floor(MEMORY_MB * 7 / 24) * 1.048576;
 
-    private final List<Figure> kept;
+    private final List<Figure> figures;
     private final List<Need> needs = new ArrayList<>();
     private final List<String> missing = new ArrayList<>();
 
@@ -52,31 +55,31 @@
         }
     }
 
-    /** A value at the size, how it came to be, and how far it was carried. */
+    /** A value at the target size, and whether it was measured there or how far it is extrapolated. */
     private record Term(double value, String carried) {
     }
 
-    private Page(List<Figure> kept) {
-        this.kept = kept;
+    private Page(List<Figure> figures) {
+        this.figures = figures;
     }
 
     public static void main(String[] args) throws IOException {
         System.out.print(tables(Figures.readAll(args.length > 0 ? Path.of(args[0]) : RESULTS)));
     }
 
-    /** As Markdown; the same figures give the same text. */
-    public static String tables(List<Figure> kept) {
-        Page page = new Page(kept);
+    /** The tables as Markdown; the same figures give the same text. */
+    public static String tables(List<Figure> figures) {
+        Page page = new Page(figures);
         page.workOut();
         return String.join("\n", page.measured(), page.worked(), page.sets(), page.unfit(), page.runs());
     }
 
-    /** What stands between the marks in the page. */
+    /** The text between the begin and end markers of the page. */
     public static String kept(String page) {
         int from = page.indexOf(BEGIN);
         int to = page.indexOf(END);
         if (from < 0 || to < from) {
-            throw new IllegalArgumentException("the page has no place for the tables: " + BEGIN.trim());
+            throw new IllegalArgumentException("the page has no begin marker followed by an end marker: " + BEGIN.trim());
         }
         return page.substring(from + BEGIN.length(), to);
     }
@@ -84,26 +87,26 @@
     // ---- figures
 
     private Stream<Figure> named(String name) {
-        return kept.stream().filter(f -> f.figure().equals(name));
+        return figures.stream().filter(f -> f.figure().equals(name));
     }
 
-    /** By engines, all else as it is at the size. */
-    private Map<Double, Spread> byEngines(String name) {
-        return Spread.by(named(name).filter(f -> f.queriesPerSecond() == 0
+    /** Figures by number of engines, with the number of fronts of the target size. */
+    private Map<Double, Summary> byEngines(String name) {
+        return Summary.byFactor(named(name).filter(f -> f.queriesPerSecond() == 0
                 && (f.fronts() == Slopes.FRONTS || f.fronts() == 0)), Figure::engines);
     }
 
-    private static Fit fit(Map<Double, Spread> places, boolean power) {
+    private static Fit fit(Map<Double, Summary> places, boolean power) {
         double[] x = places.keySet().stream().mapToDouble(Double::doubleValue).toArray();
-        double[] y = places.values().stream().mapToDouble(Spread::median).toArray();
-        return power ? Fit.power(x, y) : Fit.line(x, y);
+        double[] y = places.values().stream().mapToDouble(Summary::median).toArray();
+        return power ? Fit.powerLaw(x, y) : Fit.line(x, y);
     }
 
-    /** At 25,000 engines: as measured there, or from the greatest size that was, on by the fit's power. */
+    /** The value at 25,000 engines: measured there, or extrapolated from the largest measured size by the power law. */
     private Term atSize(String name) {
-        TreeMap<Double, Spread> places = new TreeMap<>(byEngines(name));
+        TreeMap<Double, Summary> places = new TreeMap<>(byEngines(name));
         if (places.isEmpty()) {
-            throw new IllegalArgumentException("no figure " + name + " is kept");
+            throw new IllegalArgumentException("no kept figure has the name " + name);
         }
         double most = places.lastKey();
         double there = places.get(most).median();
@@ -116,11 +119,11 @@
     }
 
     private double only(String name, String unit) {
-        return Spread.of(named(name).filter(f -> unit == null || f.unit().equals(unit))
+        return Summary.of(named(name).filter(f -> unit == null || f.unit().equals(unit))
                 .mapToDouble(Figure::value).toArray()).median();
     }
 
-    // ---- what it makes at size
+    // ---- needs at the target size
 
     private void need(String role, String what, double need, double budget, String unit, String carried,
             String working, Object... terms) {
@@ -177,7 +180,7 @@
         }
     }
 
-    /** Whether there is such a figure; what was not measured is told, and nothing is worked out from it. */
+    /** Whether there is such a figure; a missing one is listed on the page, and its needs are left out. */
     private boolean has(String name) {
         if (named(name).findAny().isEmpty()) {
             missing.add(name);
@@ -187,10 +190,10 @@
     }
 
     private void busy() {
-        Fit busy = fit(Spread.by(named("front_busy_cpu"), Figure::queriesPerSecond), false);
-        double rate = Spread.by(named("front_busy_cpu"), Figure::queriesPerSecond).keySet().stream()
+        Fit busy = fit(Summary.byFactor(named("front_busy_cpu"), Figure::queriesPerSecond), false);
+        double rate = Summary.byFactor(named("front_busy_cpu"), Figure::queriesPerSecond).keySet().stream()
                 .mapToDouble(Double::doubleValue).max().orElseThrow();
-        need("front", "data path and all else at 8 engines", busy.at(QUERIES), 1, "core",
+        need("front", "data path and all else at 8 engines", busy.valueAt(QUERIES), 1, "core",
                 plain(QUERIES / rate) + " times past " + plain(rate) + " queries/s, by the line",
                 "%s + %s/s x %s us", busy.base(), QUERIES, busy.slope() * 1e6);
     }
@@ -201,7 +204,7 @@
         double bound = only("journal_event_bound", "B");
         need("journal, front", "one event with the whole list", event.value(), bound, "B", event.carried(),
                 "%s rows", (double) ENGINES);
-        // Half of the longest wait, and half of that by chance; what the reading takes is left out.
+        // Mean of the longest reconnect delay, which is 0.25 to 0.5 s; reading time is left out.
         double wait = 0.375;
         if (event.value() > bound) {
             need("journal, front", "calls again for a list that it never gets, each cut off at the bound",
@@ -209,8 +212,8 @@
         }
         need("journal, front", "a whole list in a front's bytes", event.value() / BYTES, PRIMARY_S, "s",
                 event.carried(), "%s B / %s B/s", event.value(), BYTES);
-        // An event of one row, and a comment of two bytes each second.
-        double one = Alone.wholeEvent(1).length;
+        // An event with one row; a comment of two bytes is sent each second.
+        double one = ControlDriver.fullListEvent(1).length;
         need("journal, front", "bytes of an ordinary day", ROWS_A_DAY / DAY * one + 2, BYTES, "B/s",
                 "each row an event", "%s rows / %s s x %s B + 2 B/s", ROWS_A_DAY, DAY, one);
         need("journal, front", "a zone's rows in a front's bytes", ZONE * one / BYTES, PRIMARY_S, "s",
@@ -238,17 +241,17 @@
     }
 
     private void idle(Term control) {
-        Map<Double, Spread> idle = Spread.by(named("front_idle_memory").filter(f -> f.connections() > 0),
+        Map<Double, Summary> idle = Summary.byFactor(named("front_idle_memory").filter(f -> f.connections() > 0),
                 f -> f.connections());
         Fit held = fit(idle, false);
         double most = idle.keySet().stream().mapToDouble(Double::doubleValue).max().orElseThrow();
-        need("front", "memory with all its clients idle, at 8 engines, and the list's", held.at(CONNECTIONS)
+        need("front", "memory with all its clients idle, at 8 engines, and the list's", held.valueAt(CONNECTIONS)
                 + control.value(), MEMORY_MB * 1.048576, "MB", plain(CONNECTIONS / most) + " times "
                 + plain(most) + " connections, by the line", "%s + %s x %s MB + %s", held.base(), CONNECTIONS,
                 held.slope(), control.value());
-        Fit idleCpu = fit(Spread.by(named("front_idle_cpu").filter(f -> f.connections() > 0),
+        Fit idleCpu = fit(Summary.byFactor(named("front_idle_cpu").filter(f -> f.connections() > 0),
                 f -> f.connections()), false);
-        need("front", "idle clients", idleCpu.at(CONNECTIONS), CONTROL_CORE, "core", plain(CONNECTIONS / most)
+        need("front", "idle clients", idleCpu.valueAt(CONNECTIONS), CONTROL_CORE, "core", plain(CONNECTIONS / most)
                 + " times " + plain(most) + " connections, by the line", "%s + %s x %s core", idleCpu.base(),
                 CONNECTIONS, idleCpu.slope());
     }
@@ -258,29 +261,29 @@
     private String measured() {
         StringBuilder text = new StringBuilder("### Measured\n\n| figure | by | place: least / median / most"
                 + " (repeats) | fit over the medians |\n| --- | --- | --- | --- |\n");
-        for (String name : new TreeSet<>(kept.stream().map(Figure::figure).toList())) {
+        for (String name : new TreeSet<>(figures.stream().map(Figure::figure).toList())) {
             String unit = named(name).findFirst().orElseThrow().unit();
             if (name.startsWith("front_holds") || name.endsWith("_bound")) {
                 continue;
             }
             line(text, name, unit, "engines", byEngines(name), true);
-            line(text, name, unit, "fronts known (400 engines)", Spread.by(named(name).filter(f ->
+            line(text, name, unit, "fronts known (400 engines)", Summary.byFactor(named(name).filter(f ->
                     f.engines() == 400 && f.queriesPerSecond() == 0 && f.fronts() > 0), Figure::fronts),
                     true);
-            line(text, name, unit, "queries/s", Spread.by(named(name).filter(f -> f.queriesPerSecond() > 0
+            line(text, name, unit, "queries/s", Summary.byFactor(named(name).filter(f -> f.queriesPerSecond() > 0
                     && !name.contains("connections")), Figure::queriesPerSecond), false);
-            line(text, name, unit, "connections", Spread.by(named(name).filter(f -> f.connections() > 0
+            line(text, name, unit, "connections", Summary.byFactor(named(name).filter(f -> f.connections() > 0
                     || name.startsWith("front_idle")), Figure::connections), false);
         }
         missing.forEach(name -> text.append("\nNot measured: ").append(name).append(".\n"));
-        kept.stream().filter(f -> f.figure().endsWith("_cut_off")).forEach(f -> text.append("\nCut off: ")
+        figures.stream().filter(f -> f.figure().endsWith("_cut_off")).forEach(f -> text.append("\nCut off: ")
                 .append(f.figure().replace("_cut_off", "")).append(" at ").append(plain(f.engines()))
                 .append(" engines had not ended after ").append(plain(f.value())).append(" s of CPU.\n"));
         return text.toString();
     }
 
     private static void line(StringBuilder text, String name, String unit, String by,
-            Map<Double, Spread> places, boolean power) {
+            Map<Double, Summary> places, boolean power) {
         if (places.size() < 2) {
             return;
         }
@@ -291,8 +294,8 @@
                 .append(" | ").append(fit(places, law)).append(" |\n");
     }
 
-    private static String told(Spread spread) {
-        return plain(spread.least()) + " / " + plain(spread.median()) + " / " + plain(spread.most()) + " ("
+    private static String told(Summary spread) {
+        return plain(spread.min()) + " / " + plain(spread.median()) + " / " + plain(spread.max()) + " ("
                 + spread.repeats() + ")";
     }
 
@@ -307,7 +310,7 @@
         return text.toString();
     }
 
-    /** What queries, reports and pulses would take if a front knew only so many engines: as measured. */
+    /** Measured cost of queries, reports and timer pulses for a front that knows fewer engines. */
     private String sets() {
         StringBuilder text = new StringBuilder("### Were a front to know fewer engines\n\n"
                 + "| engines | queries, core | reports, core | pulses, core | sum / 4.3% of a core"
@@ -337,14 +340,14 @@
 
     private String runs() {
         StringBuilder text = new StringBuilder("### Runs\n\n| run | figures |\n| --- | --- |\n");
-        kept.stream().collect(Collectors.groupingBy(Figure::run, TreeMap::new, Collectors.mapping(
+        figures.stream().collect(Collectors.groupingBy(Figure::run, TreeMap::new, Collectors.mapping(
                 Figure::figure, Collectors.toCollection(TreeSet::new)))).forEach((run, names) -> text
                         .append("| ").append(run).append(" | ").append(String.join(", ", names))
                         .append(" |\n"));
         return text.toString();
     }
 
-    /** Three digits that count, with commas. */
+    /** Formats with three significant digits and with commas. */
     static String plain(double value) {
         if (value == 0 || !Double.isFinite(value)) {
             return value == 0 ? "0" : String.valueOf(value);
--- a/src/rig/java/reedspring/rig/scale/Scale.java
+++ b/src/rig/java/reedspring/rig/scale/Scale.java
@@ -15,7 +15,7 @@
 import reedspring.rig.fleet.Timetable;
 import reedspring.settings.SettingsException;
 
-/** Many hollow fronts beside a few real ones, played by a timetable; the main behind bench/scale. */
+/** Main class of bench/scale: runs many hollow fronts beside a few real ones, with the events of a timetable. */
 @Command(name = "bench/scale", sortOptions = false)
 public final class Scale implements Callable<Integer> {
     private static final int USAGE = 64;
@@ -65,7 +65,7 @@
             }
             Files.createDirectories(out);
             List<Figures.Figure> all = Slopes.measure(out, seed, shortly, null);
-            System.out.println("figures=" + all.size() + " charts=" + Charts.byEngines(all, out).size());
+            System.out.println("figures=" + all.size() + " charts=" + SlopeCharts.writeByEngines(all, out).size());
             return 0;
         }
         Path file = timetable != null ? timetable
@@ -89,22 +89,22 @@
         if (out != null) {
             Files.createDirectories(out);
         }
-        try (Run run = new Run(table, file, size, seed, true)) {
-            Run.Result result = run.play();
+        try (ScaleRun run = new ScaleRun(table, file, size, seed, true)) {
+            ScaleRun.Result result = run.play();
             if (out != null) {
                 Figures.write(out.resolve("scale.csv"), result.figures());
-                Chart.write(out.resolve("in-force.svg"), f + " fronts, " + e + " engines", result.figures());
+                InForceChart.write(out.resolve("in-force.svg"), f + " fronts, " + e + " engines", result.figures());
             }
             System.out.println(result.line());
             result.broken().forEach(what -> System.err.println("BROKEN " + what));
             return result.broken().isEmpty() ? 0 : BROKEN;
         } catch (IOException | IllegalStateException | AssertionError broken) {
-            System.err.println("bench/scale: the run failed: " + broken.getMessage());
+            System.err.println("bench/scale: run failed: " + broken.getMessage());
             return UNAVAILABLE;
         }
     }
 
-    /** How many fronts, engines and real fronts among the fronts, and what that takes of the machine. */
+    /** Number of fronts, engines, and real fronts among the fronts, and the machine resources that they need. */
     record Size(int fronts, int engines, int real) {
         private static final int FRONTS_A_HOST = 250;
         private static final int ENGINES_A_HOST = 8_192;
@@ -124,7 +124,7 @@
             return fronts - real;
         }
 
-        /** In MB: what a front holds for each engine was measured at under a kilobyte. */
+        /** Heap of one process of hollow fronts. A front was measured to hold under a kilobyte for each engine. */
         int hollowHeapMb() {
             int each = (hollow() + Math.max(1, hollowHosts()) - 1) / Math.max(1, hollowHosts());
             return 192 + (int) (each * (0.25 + engines * 0.0015));
@@ -134,9 +134,9 @@
             return engines <= 2_000 ? 128 : 256;
         }
 
-        /** Descriptors of the process that needs most. */
+        /** Descriptors of the process that needs the most. */
         int descriptors() {
-            int main = OWN + (JournalService.ADDRESSES + 2) * fronts;
+            int main = OWN + (JournalService.ADDRESSES_PER_WATCHER + 2) * fronts;
             int engineHost = OWN + Math.min(engines, ENGINES_A_HOST) + 300 * real;
             int hollowHost = OWN + 2 * Math.min(hollow(), FRONTS_A_HOST);
             return Math.max(main, Math.max(engineHost, hollowHost));
@@ -147,7 +147,7 @@
                     + (long) real * realMb();
         }
 
-        /** What the machine has too little of, or null. */
+        /** A message about a resource that the machine lacks, or null. */
         String lacks() {
             var system = ManagementFactory.getOperatingSystemMXBean();
             long limit = system instanceof UnixOperatingSystemMXBean unix
--- a/src/rig/java/reedspring/rig/scale/Run.java
+++ b/src/rig/java/reedspring/rig/scale/ScaleRun.java
@@ -29,10 +29,10 @@
 import reedspring.rig.fleet.Timetable.Entry;
 
 /**
- * One run: brings up the journal service, hollow engines, hollow fronts and real ones, plays the timetable
- * and checks the rules from outside. Real fronts have the lowest numbers.
+ * One scale run: starts the journal service, stand-in engines, hollow fronts and real fronts, executes the
+ * timetable and checks the rules from outside. Real fronts have the lowest numbers.
  */
-final class Run implements Closeable {
+final class ScaleRun implements Closeable {
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
     private static final long CONFIGURED_WITHIN = 11 * SECOND;
@@ -40,16 +40,16 @@
     private static final long READY_WITHIN = 10 * SECOND;
     private static final long DRAIN_SLACK = 250 * MS;
     private static final long GONE_AFTER = SECOND;
-    /** Of what pacing aims at, the most that a peak may be. */
+    /** Greatest peak that is allowed, as a multiple of the rate that pacing aims at. */
     private static final double PEAK = 3;
-    /** Fronts that have lost the service call it again after 250 to 500 ms each time, once it lasts. */
+    /** Fronts reconnect after 250 to 500 ms each time once an outage of the journal lasts. */
     private static final double MEAN_WAIT_MS = 375;
     private static final long BYTES_PER_SECOND = 32 << 20;
     private static final double HOLLOW_QUERIES = 2;
     private static final double REAL_QUERIES = 10;
     private static final int LOOPS = 2;
 
-    /** What a run came to; it held its aims if nothing is broken. */
+    /** Figures, summary line and violated rules of a run; it passed if no rule was violated. */
     record Result(List<Figures.Figure> figures, String line, List<String> broken) {
     }
 
@@ -59,9 +59,9 @@
     private final long seed;
     private final Path folder;
     private final JournalService journal = new JournalService(BYTES_PER_SECOND);
-    private final List<Child> hollow = new ArrayList<>();
-    private final List<Child> engineHosts = new ArrayList<>();
-    private final List<Child> children = new ArrayList<>();
+    private final List<ChildProcess> hollow = new ArrayList<>();
+    private final List<ChildProcess> engineHosts = new ArrayList<>();
+    private final List<ChildProcess> children = new ArrayList<>();
     private final Map<Integer, Integer> births = new HashMap<>();
     private final Map<Integer, Integer> places = new HashMap<>();
     private final List<List<String>> watchers = new ArrayList<>();
@@ -73,14 +73,14 @@
     private final List<Fault> faults = new ArrayList<>();
     private final boolean timed;
     private final ExecutorService asks = Executors.newCachedThreadPool();
-    private Child real;
+    private ChildProcess real;
     private long startedAt;
     private long changingSince;
     private final List<Long> changes = new ArrayList<>();
     private int spares;
-    private String at = "a";
+    private String configurationSuffix = "a";
 
-    /** When the journal did not reach whom. */
+    /** A time span in which some fronts could not reach the journal. */
     private record Fault(long from, long to, Set<Integer> fronts) {
     }
 
@@ -88,8 +88,8 @@
         void run() throws IOException;
     }
 
-    /** @param timed whether times are held to their limits, which a busy machine may not allow */
-    Run(Timetable table, Path file, Scale.Size size, long seed, boolean timed) throws IOException {
+    /** @param timed whether to check time limits, which a busy machine may miss */
+    ScaleRun(Timetable table, Path file, Scale.Size size, long seed, boolean timed) throws IOException {
         this.timed = timed;
         this.table = table.sized(size.fronts(), size.engines());
         this.file = file;
@@ -98,8 +98,8 @@
         this.folder = Files.createTempDirectory("reedspring-scale");
     }
 
-    private Child child(String role, int heapMb) throws IOException {
-        Child made = new Child(role, heapMb, folder.resolve(role + children.size() + ".log"));
+    private ChildProcess child(String role, int heapMb) throws IOException {
+        ChildProcess made = new ChildProcess(role, heapMb, folder.resolve(role + children.size() + ".log"));
         children.add(made);
         return made;
     }
@@ -109,7 +109,7 @@
                 : (System.nanoTime() - startedAt) / 1e9, text);
     }
 
-    // ---- bringing it up
+    // ---- startup
 
     private static final int SPARE_PART = 4;
 
@@ -123,7 +123,7 @@
 
     private JournalService.Row row(int engine, String health) {
         int birth = births.getOrDefault(engine, 0);
-        String address = Host.address(net(), places.get(engine)) + ":" + port();
+        String address = ChildMain.engineAddress(net(), places.get(engine)) + ":" + port();
         return new JournalService.Row("e" + engine + "-" + birth, address, String.valueOf(table.site(engine)),
                 Terms.kind(table.cores(engine)), health, 0);
     }
@@ -133,15 +133,15 @@
         spares = size.engines();
         int listening = Math.min(65_536, size.engines() + spare);
         for (int from = 0; from < listening; from += 8_192) {
-            Child host = child("engines", 512);
+            ChildProcess host = child("engines", 512);
             engineHosts.add(host);
-            host.ask("start " + net() + " " + port() + " " + from + " " + Math.min(listening, from + 8_192));
+            host.execute("start " + net() + " " + port() + " " + from + " " + Math.min(listening, from + 8_192));
         }
         IntStream.range(0, size.engines()).forEach(k -> places.put(k, k));
-        journal.tell(IntStream.range(0, size.engines()).mapToObj(k -> row(k, "ready")).toList());
-        tell(size.engines() + " engines listen");
+        journal.publish(IntStream.range(0, size.engines()).mapToObj(k -> row(k, "ready")).toList());
+        tell(size.engines() + " engines are listening");
         for (int k = 0; k < size.fronts(); k++) {
-            watchers.add(journal.watcher());
+            watchers.add(journal.addWatcher());
             String listen = k < size.real() ? Program.freeAddress() : "127.0.0.1:1";
             listens.add(listen);
             configure(k);
@@ -150,27 +150,27 @@
         int next = size.real();
         for (int h = 0; h < size.hollowHosts(); h++) {
             int until = size.real() + (int) ((long) size.hollow() * (h + 1) / size.hollowHosts());
-            Child host = child("hollow", size.hollowHeapMb());
+            ChildProcess host = child("hollow", size.hollowHeapMb());
             hollow.add(host);
-            host.ask("start " + folder + " " + list(next, until) + " " + LOOPS + " " + HOLLOW_QUERIES + " "
+            host.execute("start " + folder + " " + list(next, until) + " " + LOOPS + " " + HOLLOW_QUERIES + " "
                     + file);
             next = until;
         }
-        tell(size.hollow() + " hollow fronts are up");
+        tell(size.hollow() + " hollow fronts started");
         if (size.real() > 0) {
             real = child("real", 256);
-            real.ask("start " + folder + " " + list(0, size.real()) + " " + REAL_QUERIES + " " + file);
-            tell(size.real() + " real fronts serve");
+            real.execute("start " + folder + " " + list(0, size.real()) + " " + REAL_QUERIES + " " + file);
+            tell(size.real() + " real fronts are ready");
         }
         long limit = from + 60 * SECOND;
-        while (journal.inStep().size() < size.fronts()) {
-            require(System.nanoTime() < limit, "only " + journal.inStep().size() + " of " + size.fronts()
-                    + " fronts follow the journal after a minute");
+        while (journal.upToDateWatchers().size() < size.fronts()) {
+            require(System.nanoTime() < limit, "only " + journal.upToDateWatchers().size() + " of " + size.fronts()
+                    + " fronts are up to date with the journal after a minute");
             pause(50);
         }
         figure("start_all_in_step", (System.nanoTime() - from) / 1e9);
         if (real != null) {
-            real.ask("ask");
+            real.execute("ask");
         }
         startedAt = System.nanoTime();
         tell("all follow the journal");
@@ -178,11 +178,11 @@
 
     private final List<String> listens = new ArrayList<>();
 
-    /** Writes a front's configurations: with its journal's one address, the other, and one that is no use. */
+    /** Writes a front's configurations: one for each of its journal addresses, and an invalid one. */
     private void configure(int front) throws IOException {
         String known = front < size.real() ? journal.known() : "";
-        int position = front < size.real() ? journal.number() : 0;
-        for (int which = 0; which < JournalService.ADDRESSES; which++) {
+        int position = front < size.real() ? journal.lastEventNumber() : 0;
+        for (int which = 0; which < JournalService.ADDRESSES_PER_WATCHER; which++) {
             String text = Terms.config(table, front, size.realMb(), listens.get(front),
                     watchers.get(front).get(which), position, known);
             write(front, which == 0 ? "a" : "b", text);
@@ -200,7 +200,7 @@
         return IntStream.range(from, until).mapToObj(Integer::toString).collect(Collectors.joining(","));
     }
 
-    // ---- playing
+    // ---- execution
 
     Result play() throws IOException {
         up();
@@ -236,15 +236,15 @@
                 for (int k = 0; k < count; k++) {
                     boolean last = k == count - 1;
                     boolean first = k == 0;
-                    // Each can be seen alone only if it has the time that it may take.
+                    // Checked one by one only if the changes are further apart than one may take.
                     boolean apart = count > 1 && entry.span() / count >= 20_000;
                     int number = k + 1;
                     at(entry.at() + entry.span() * k / count, () -> {
-                        at = at.equals("a") ? "b" : "a";
+                        configurationSuffix = configurationSuffix.equals("a") ? "b" : "a";
                         long now = System.nanoTime();
                         changingSince = first ? now : changingSince;
                         changes.add(now);
-                        reload(at);
+                        reload(configurationSuffix);
                         if (last) {
                             figure(entry.title() + " made_in_s", (System.nanoTime() - changingSince) / 1e9);
                         }
@@ -274,11 +274,11 @@
                 }
             }
             case LOSE -> {
-                at(entry.at(), () -> inForce(entry.title() + " gone", journal.tell(engines.stream()
+                at(entry.at(), () -> inForce(entry.title() + " gone", journal.publish(engines.stream()
                         .map(e -> row(e, "gone")).toList())));
                 at(entry.until(), () -> {
                     engines.forEach(e -> births.merge(e, 1, Integer::sum));
-                    inForce(entry.title() + " back", journal.tell(engines.stream().map(e -> row(e, "ready"))
+                    inForce(entry.title() + " back", journal.publish(engines.stream().map(e -> row(e, "ready"))
                             .toList()));
                 });
             }
@@ -288,22 +288,22 @@
             }
             case CUT -> {
                 at(entry.at(), () -> {
-                    tell(entry.title() + ": the journal is cut from " + fronts.size() + " fronts");
-                    journal.cut(fronts, true);
+                    tell(entry.title() + ": cutting the link of " + fronts.size() + " fronts to the journal");
+                    journal.setLinkDown(fronts, true);
                     fault(entry, fronts);
                 });
-                at(entry.until(), () -> journal.cut(fronts, false));
+                at(entry.until(), () -> journal.setLinkDown(fronts, false));
             }
             case JOURNAL_AWAY -> {
                 at(entry.at(), () -> {
-                    tell(entry.title() + ": the journal is away");
-                    journal.away(true);
+                    tell(entry.title() + ": stopping the journal service");
+                    journal.setUnavailable(true);
                     fault(entry, live());
                 });
                 at(entry.until(), () -> back(entry.title()));
             }
             default -> throw new IllegalStateException("[" + entry.title() + "] what: "
-                    + entry.what().name().toLowerCase(Locale.ROOT) + " is not played by bench/scale");
+                    + entry.what().name().toLowerCase(Locale.ROOT) + " is not supported by bench/scale");
         }
     }
 
@@ -314,10 +314,10 @@
 
     private void reload(String which) throws IOException {
         List<CompletableFuture<Void>> told = new ArrayList<>();
-        for (Child host : fronts()) {
+        for (ChildProcess host : fronts()) {
             told.add(CompletableFuture.runAsync(() -> {
                 try {
-                    host.ask("reload " + which);
+                    host.execute("reload " + which);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -330,20 +330,20 @@
         }
     }
 
-    private List<Child> fronts() {
+    private List<ChildProcess> fronts() {
         return Stream.concat(hollow.stream(), Stream.ofNullable(real)).toList();
     }
 
-    /** The last of some changes is in force where a front calls the address that it names, and stays. */
+    /** Checks a configuration: it is in force once a front connects to the journal address that it names, and no other. */
     private void configured(String title, long since) {
-        int expected = at.equals("a") ? 0 : 1;
-        tell(title + ": made");
+        int expected = configurationSuffix.equals("a") ? 0 : 1;
+        tell(title + ": configuration written");
         Set<Integer> live = live();
         checks.add(() -> {
             List<Long> times = new ArrayList<>();
             long next = changes.stream().filter(at -> at > since).findFirst().orElse(Long.MAX_VALUE);
             for (int front : live) {
-                List<long[]> calls = journal.calledSince(front, since);
+                List<long[]> calls = journal.requestsSince(front, since);
                 long first = 0;
                 for (long[] call : calls) {
                     first = call[1] >= next ? first : call[0] != expected ? 0 : first == 0 ? call[1] : first;
@@ -367,21 +367,21 @@
 
     private final Map<Integer, Long> kills = new HashMap<>();
 
-    /** Refused by all alike with field and line of the log, and the old one stays in force. */
+    /** Checks that all fronts reject the invalid configuration, log the field, and keep the old one. */
     private void refused(String title, long since) {
         Set<Integer> live = live();
-        tell(title + ": a configuration that can't be used");
+        tell(title + ": invalid configuration written");
         Map<Integer, Long> stood = new HashMap<>();
         live.forEach(front -> stood.put(front, lastAddress(front)));
         at((since - startedAt) / 100_000 + 30_000, () -> {
             for (int front : live) {
                 if (!killedSince(front, since) && lastAddress(front) != stood.get(front)) {
-                    broken.add(title + ": front " + front + " has moved all the same");
+                    broken.add(title + ": front " + front + " changed its journal address for an invalid configuration");
                 }
             }
             Set<Integer> named = new HashSet<>();
-            for (Child host : fronts()) {
-                host.askEach("logged configuration_can't_be_used,_nothing_changed:_limits.sockets").forEach(
+            for (ChildProcess host : fronts()) {
+                host.executePerFront("logged configuration_can't_be_used,_nothing_changed:_limits.sockets").forEach(
                         (front, count) -> {
                             if (!count.equals("0")) {
                                 named.add(front);
@@ -392,14 +392,14 @@
             Set<Integer> silent = new TreeSet<>(live);
             silent.removeAll(named);
             if (!silent.isEmpty()) {
-                broken.add(title + ": not refused by fronts " + silent);
+                broken.add(title + ": invalid configuration not rejected by fronts " + silent);
             }
             figure("refused", named.size());
         });
     }
 
     private long lastAddress(int front) {
-        List<long[]> calls = journal.calledSince(front, 0);
+        List<long[]> calls = journal.requestsSince(front, 0);
         return calls.get(calls.size() - 1)[0];
     }
 
@@ -416,31 +416,31 @@
         births.merge(engine, 1, Integer::sum);
         places.put(engine, spares++ % (size.engines() + Math.max(8, size.engines() / SPARE_PART)));
         JournalService.Row fresh = row(engine, "ready");
-        int number = journal.tell(List.of(old, fresh));
+        int number = journal.publish(List.of(old, fresh));
         long told = System.nanoTime();
-        tell(title + ": " + old.engine() + " drains, " + fresh.engine() + " takes its place");
+        tell(title + ": " + old.engine() + " drains, replaced by " + fresh.engine());
         inForce(title, number, told);
-        at((told - startedAt + GONE_AFTER) / 100_000, () -> journal.tell(List.of(new JournalService.Row(
+        at((told - startedAt + GONE_AFTER) / 100_000, () -> journal.publish(List.of(new JournalService.Row(
                 old.engine(), old.address(), old.zone(), old.kind(), "gone", 0))));
         checks.add(() -> {
             try {
                 Map<Integer, String> sent = new TreeMap<>();
-                for (Child host : hollow) {
-                    sent.putAll(host.askEach("sent " + old.engine()));
+                for (ChildProcess host : hollow) {
+                    sent.putAll(host.executePerFront("sent " + old.engine()));
                 }
-                sent.putAll(engineHosts.get(before / 8_192).askEach("sent " + before));
+                sent.putAll(engineHosts.get(before / 8_192).executePerFront("sent " + before));
                 sent.forEach((front, when) -> {
                     boolean reached = faults.stream().noneMatch(fault -> fault.fronts.contains(front)
                             && fault.from < told + SECOND && fault.to > told - SECOND);
                     long within = timed && reached ? Terms.DRAIN_MS * MS : CHANGED_WITHIN;
                     if (Long.parseLong(when) > told + within + DRAIN_SLACK) {
                         broken.add(title + ": front " + front + " sent to " + old.engine() + " "
-                                + (Long.parseLong(when) - told) / MS + " ms after it was told to drain");
+                                + (Long.parseLong(when) - told) / MS + " ms after the draining row was published");
                     }
                 });
                 long users = 0;
-                for (Child host : hollow) {
-                    users += host.askEach("first " + fresh.engine()).values().stream()
+                for (ChildProcess host : hollow) {
+                    users += host.executePerFront("first " + fresh.engine()).values().stream()
                             .filter(when -> !when.equals("0")).count();
                 }
                 figure(title + " users_of_the_new", users);
@@ -452,13 +452,13 @@
 
     private void replace(String title, int engine) throws IOException {
         JournalService.Row old = row(engine, "draining");
-        inForce(title, journal.tell(List.of(old)));
+        inForce(title, journal.publish(List.of(old)));
         at((System.nanoTime() - startedAt + GONE_AFTER) / 100_000, () -> {
             JournalService.Row gone = new JournalService.Row(old.engine(), old.address(), old.zone(),
                     old.kind(), "gone", 0);
             births.merge(engine, 1, Integer::sum);
             JournalService.Row fresh = row(engine, "ready");
-            inForce(title, journal.tell(List.of(gone, new JournalService.Row(fresh.engine(), fresh.address(),
+            inForce(title, journal.publish(List.of(gone, new JournalService.Row(fresh.engine(), fresh.address(),
                     fresh.zone(), fresh.kind(), "ready", System.currentTimeMillis()))));
         });
     }
@@ -473,15 +473,15 @@
         events.computeIfAbsent(title, k -> new ArrayList<>()).add(new long[] {number, told});
     }
 
-    /** From each event until it was in force at each hollow front that was there, or came back. */
+    /** Checks that each event is in force at each hollow front; records the delays of fronts not restarted since. */
     private void checkEvents(String title, List<long[]> told) {
         try {
             List<Long> times = new ArrayList<>();
             long first = 0;
             for (long[] event : told) {
                 first = first == 0 ? event[1] : first;
-                for (Child host : hollow) {
-                    for (Map.Entry<Integer, String> front : host.askEach("force " + event[0]).entrySet()) {
+                for (ChildProcess host : hollow) {
+                    for (Map.Entry<Integer, String> front : host.executePerFront("force " + event[0]).entrySet()) {
                         long at = Long.parseLong(front.getValue());
                         if (at == 0) {
                             broken.add(title + ": event " + event[0] + " is not in force at front "
@@ -500,7 +500,7 @@
 
     private void spread(String title, List<Long> times, long within, long since) {
         if (times.isEmpty()) {
-            broken.add(title + ": at no front");
+            broken.add(title + ": no front reported a time");
             return;
         }
         times.sort(Comparator.naturalOrder());
@@ -516,29 +516,29 @@
         }
     }
 
-    private Map<Child, String> byHost(Set<Integer> fronts) {
-        Map<Child, String> by = new HashMap<>();
+    private Map<ChildProcess, String> byHost(Set<Integer> fronts) {
+        Map<ChildProcess, String> by = new HashMap<>();
         for (int front : fronts) {
             by.merge(hostOf(front), Integer.toString(front), (all, one) -> all + "," + one);
         }
         return by;
     }
 
-    private Child hostOf(int front) {
+    private ChildProcess hostOf(int front) {
         return front < size.real() ? real : hollow.get(IntStream.range(0, hollow.size())
                 .filter(h -> front < size.real() + (int) ((long) size.hollow() * (h + 1) / hollow.size()))
                 .findFirst().orElseThrow());
     }
 
     private void kill(String title, Set<Integer> fronts) throws IOException {
-        tell(title + ": " + fronts.size() + " fronts are killed");
-        for (Map.Entry<Child, String> host : byHost(fronts).entrySet()) {
-            host.getKey().ask("kill " + host.getValue());
+        tell(title + ": " + fronts.size() + " fronts killed");
+        for (Map.Entry<ChildProcess, String> host : byHost(fronts).entrySet()) {
+            host.getKey().execute("kill " + host.getValue());
         }
         for (int front : fronts) {
             down.add(front);
             kills.put(front, System.nanoTime());
-            journal.drops(front);
+            journal.resetConnections(front);
         }
     }
 
@@ -548,10 +548,10 @@
             down.remove(front);
             kills.put(front, System.nanoTime());
         }
-        int number = journal.number();
+        int number = journal.lastEventNumber();
         long since = System.nanoTime();
-        for (Map.Entry<Child, String> host : byHost(fronts).entrySet()) {
-            String took = host.getKey().ask("revive " + host.getValue());
+        for (Map.Entry<ChildProcess, String> host : byHost(fronts).entrySet()) {
+            String took = host.getKey().execute("revive " + host.getValue());
             if (host.getKey() == real) {
                 spread(title + " ready real", new ArrayList<>(List.of(Long.parseLong(took))), READY_WITHIN,
                         since);
@@ -560,8 +560,8 @@
         checks.add(() -> {
             try {
                 List<Long> times = new ArrayList<>();
-                for (Child host : hollow) {
-                    host.askEach("force " + number).forEach((front, when) -> {
+                for (ChildProcess host : hollow) {
+                    host.executePerFront("force " + number).forEach((front, when) -> {
                         if (fronts.contains(front)) {
                             times.add(when.equals("0") ? Long.MAX_VALUE : Long.parseLong(when) - since);
                         }
@@ -577,61 +577,61 @@
     }
 
     private void back(String title) {
-        journal.away(false);
+        journal.setUnavailable(false);
         long since = System.nanoTime();
         checks.add(() -> {
-            long[] peaks = journal.peaks(since, since + 5 * SECOND);
+            long[] peaks = journal.peakLoad(since, since + 5 * SECOND);
             double aimed = Math.max(1, size.fronts() * 100 / MEAN_WAIT_MS);
             figure(title + " calls_in_100ms", peaks[0]);
             figure(title + " calls_over_aim", peaks[0] / aimed);
             figure(title + " bytes_in_1s", peaks[1]);
             figure(title + " bytes_over_aim", (double) peaks[1] / BYTES_PER_SECOND);
             if (timed && peaks[0] > PEAK * aimed) {
-                broken.add(String.format(Locale.ROOT, "%s: %d calls in 100 ms, pacing aims at %.0f", title,
+                broken.add(String.format(Locale.ROOT, "%s: %d requests in 100 ms, pacing aims at %.0f", title,
                         peaks[0], aimed));
             }
             if (peaks[1] > PEAK * BYTES_PER_SECOND) {
                 broken.add(title + ": " + peaks[1] + " bytes in 1 s, pacing aims at " + BYTES_PER_SECOND);
             }
             for (int front : live()) {
-                if (!killedSince(front, since) && journal.calledSince(front, since).isEmpty()) {
-                    broken.add(title + ": front " + front + " was starved, it has not called again");
+                if (!killedSince(front, since) && journal.requestsSince(front, since).isEmpty()) {
+                    broken.add(title + ": front " + front + " has not reconnected to the journal");
                 }
             }
         });
     }
 
-    /** Nothing is left to be told: all have the same list, and nobody has gone. */
+    /** Final checks: all fronts are up to date with the same list, and none has exited or logged a fault. */
     private void quiet() throws IOException {
         events.forEach(this::checkEvents);
         Set<Integer> live = live();
         long limit = System.nanoTime() + 12 * SECOND;
-        while (!journal.inStep().containsAll(live) && System.nanoTime() < limit) {
+        while (!journal.upToDateWatchers().containsAll(live) && System.nanoTime() < limit) {
             pause(50);
         }
-        live.removeAll(journal.inStep());
+        live.removeAll(journal.upToDateWatchers());
         if (!live.isEmpty()) {
-            broken.add("fronts " + live + " don't follow the journal at the end");
+            broken.add("fronts " + live + " are not up to date with the journal at the end");
         }
         String digest = Long.toString(journal.digest());
-        for (Child host : hollow) {
-            host.askEach("digest").forEach((front, own) -> {
+        for (ChildProcess host : hollow) {
+            host.executePerFront("digest").forEach((front, own) -> {
                 if (!own.equals(digest)) {
-                    broken.add("front " + front + " holds another list than was told");
+                    broken.add("front " + front + " has a list that differs from the published one");
                 }
             });
         }
         if (real != null) {
-            real.ask("quiet");
-            real.askEach("alive").forEach((front, alive) -> {
+            real.execute("quiet");
+            real.executePerFront("alive").forEach((front, alive) -> {
                 if (!alive.equals("true")) {
-                    broken.add("front " + front + " ended by itself");
+                    broken.add("front " + front + " exited unexpectedly");
                 }
             });
         }
         for (String fault : List.of("a_decision_failed", "an_action_failed", "a_timer_failed")) {
-            for (Child host : fronts()) {
-                host.askEach("logged " + fault).forEach((front, count) -> {
+            for (ChildProcess host : fronts()) {
+                host.executePerFront("logged " + fault).forEach((front, count) -> {
                     if (!count.equals("0")) {
                         broken.add("front " + front + ": " + fault.replace('_', ' '));
                     }
@@ -643,8 +643,8 @@
     private void healthy() throws IOException {
         String fault = journal.fault();
         require(fault == null, fault);
-        for (Child one : children) {
-            require(one.process.isAlive(), "a process of the run has ended by itself");
+        for (ChildProcess one : children) {
+            require(one.process.isAlive(), "a child process exited unexpectedly");
         }
     }
 
@@ -671,11 +671,11 @@
         long cpu = 0;
         long heap = 0;
         long[] queries = new long[3];
-        for (Child host : hollow) {
-            String[] cost = host.ask("cost").split(" ");
+        for (ChildProcess host : hollow) {
+            String[] cost = host.execute("cost").split(" ");
             cpu += Long.parseLong(cost[0]);
             heap += Long.parseLong(cost[1]);
-            for (String counts : host.askEach("queries").values()) {
+            for (String counts : host.executePerFront("queries").values()) {
                 String[] each = counts.split("/");
                 IntStream.range(0, 3).forEach(k -> queries[k] += Long.parseLong(each[k]));
             }
@@ -691,23 +691,23 @@
         figure("journal_messages_a_watcher", Arrays.stream(counts).mapToLong(c -> c[0]).average().orElse(0));
         figure("journal_bytes_a_watcher", Arrays.stream(counts).mapToLong(c -> c[1]).average().orElse(0));
         if (queries[1] == 0) {
-            broken.add("hollow fronts answered nothing");
+            broken.add("hollow fronts answered no query");
         }
         if (real != null) {
-            String[] asked = real.ask("asked").split(" ");
+            String[] asked = real.execute("asked").split(" ");
             String[] names = {"real_asked", "real_rows", "real_refused", "real_errors", "real_lost",
                 "real_wrong"};
             IntStream.range(0, names.length).forEach(k -> figure(names[k], Double.parseDouble(asked[k])));
             long[] count = Arrays.stream(asked).mapToLong(Long::parseLong).toArray();
-            // Each client has one query out, and loses it with its front only.
+            // A client has at most one query open, and may lose it only when its front is killed.
             long killed = kills.keySet().stream().filter(front -> front < size.real()).count();
             long open = 2 * count[0] - Arrays.stream(count).sum();
-            if (count[1] == 0 || count[4] > Host.CLIENTS * killed || count[5] > 0
-                    || open > (long) Host.CLIENTS * size.real()) {
+            if (count[1] == 0 || count[4] > ChildMain.CLIENTS_PER_FRONT * killed || count[5] > 0
+                    || open > (long) ChildMain.CLIENTS_PER_FRONT * size.real()) {
                 broken.add("real fronts: " + String.join(", ", names) + " are " + String.join(", ", asked));
             }
         }
-        double changes = journal.number() / seconds;
+        double changes = journal.lastEventNumber() / seconds;
         String run = Slopes.commit() + " bench/scale " + file.getFileName() + " --seed " + seed;
         List<Figures.Figure> rows = figures.entrySet().stream().map(f -> new Figures.Figure(run, f.getKey(),
                 unit(f.getKey()), size.fronts(), size.engines(), HOLLOW_QUERIES, 0, changes, 1, f.getValue()))
@@ -729,7 +729,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Child one : children) {
+        for (ChildProcess one : children) {
             one.close();
         }
         journal.close();
--- a/src/rig/java/reedspring/rig/scale/Slopes.java
+++ b/src/rig/java/reedspring/rig/scale/Slopes.java
@@ -16,10 +16,10 @@
 import reedspring.rig.scale.Figures.Figure;
 
 /**
- * What each factor costs, with the others held: one front's decisions alone, the reading of the journal's
- * events, and a started front by its connections and its queries. Each part runs in a JVM of its own with the
- * flags and the sizes of the line that starts the program, on one thread whose CPU is counted; a part that
- * goes on for too long is cut off, and its figures say how far it came.
+ * Measures the cost of each factor with the others fixed: the decisions of one front, the parsing of journal
+ * events, and a front process by its connections and its queries. Each part runs in its own JVM with the flags
+ * and memory sizes of the deployment's start command, on one thread whose CPU time is measured. A part that
+ * exceeds its time limit is ended, and a figure records which measurement it was in.
  */
 public final class Slopes {
     public static final int MEMORY_MB = 256;
@@ -42,8 +42,8 @@
     private final boolean shortly;
     private final Path file;
     private final List<Figure> figures = new ArrayList<>();
-    /** A field, so that it is known when nothing refers to it any more. */
-    private Alone front;
+    /** A field, so that it can be cleared before the heap is measured. */
+    private ControlDriver front;
     private volatile String doing = "start";
     private volatile int engines;
     private volatile int fronts = FRONTS;
@@ -57,7 +57,7 @@
         this.file = file;
     }
 
-    /** All parts of it, or the one that is named where {@code part} is not null; a file for each. */
+    /** Runs all parts, or only {@code part} if it is not null; writes one file for each. */
     public static List<Figure> measure(Path out, long seed, boolean shortly, String part)
             throws IOException, InterruptedException {
         String run = commit() + " bench/scale --slopes --seed " + seed + (shortly ? " --short" : "");
@@ -71,16 +71,16 @@
             System.err.println("slopes: " + one);
             List<String> command = new ArrayList<>();
             command.add(ProcessHandle.current().info().command().orElse("java"));
-            // The sockets' part only holds clients and engines; the front that it starts has its own sizes.
+            // The part sockets only holds clients and engines; its front is a process with its own sizes.
             command.addAll(one.equals("sockets") ? List.of() : flags());
             command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(), one,
                     run, Long.toString(seed), Boolean.toString(shortly), file.toString()));
             Process child = new ProcessBuilder(command).redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.INHERIT).start();
             try {
-                Rig.require(child.waitFor(2 * CUT_S, TimeUnit.SECONDS), one + " does not end");
+                Rig.require(child.waitFor(2 * CUT_S, TimeUnit.SECONDS), one + " did not end in time");
                 Rig.require(child.exitValue() == 0 || child.exitValue() == CUT,
-                        one + " ended with " + child.exitValue());
+                        one + " exited with status " + child.exitValue());
             } finally {
                 child.destroyForcibly();
             }
@@ -89,29 +89,29 @@
         return all;
     }
 
-    /** The JVM's words in the line that starts the program, with its sizes, but no archive of classes. */
+    /** The JVM flags in the deployment's start command, memory sizes included, without the class archive. */
     static List<String> flags() throws IOException, InterruptedException {
         Matcher words = FLAGS.matcher(Files.readString(Path.of("deploy/balancer.toml")));
-        Rig.require(words.find(), "no JVM in the line that starts the program");
+        Rig.require(words.find(), "no JVM flags in the start command of deploy/balancer.toml");
         Process shell = new ProcessBuilder("/bin/sh", "-c",
                 "m=" + MEMORY_MB + "; echo " + words.group(1)).start();
         String told = new String(shell.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-        Rig.require(shell.waitFor() == 0 && told.contains("-Xmx"), "no sizes in " + told);
+        Rig.require(shell.waitFor() == 0 && told.contains("-Xmx"), "no -Xmx in the JVM flags " + told);
         return List.of(told.split(" +"));
     }
 
-    /** Of this checkout, or unknown where it is none. */
+    /** The commit of this checkout, or {@code unknown} outside a repository. */
     static String commit() throws IOException {
         Process git = new ProcessBuilder("git", "rev-parse", "--short=7", "HEAD")
                 .redirectError(ProcessBuilder.Redirect.DISCARD).start();
         String told = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-        // Its output has ended, so it ends, too.
+        // Its output is at its end, so its exit follows at once.
         return git.onExit().join().exitValue() == 0 && !told.isEmpty() ? told : "unknown";
     }
 
     /**
-     * {@code --out DIR [--seed N] [--short] [PART]}, as bench/scale --slopes has it; or, in a JVM of its own,
-     * one part: its name, what the run is called, seed, whether shortly, and the file.
+     * {@code --out DIR [--seed N] [--short] [PART]}, like bench/scale --slopes; or, in the child JVM of one part:
+     * its name, the name of the run, the seed, whether the run is short, and the file for the figures.
      */
     public static void main(String[] args) throws Exception {
         if (args.length > 1 && args[0].equals("--out")) {
@@ -124,7 +124,7 @@
             boolean shortly = more.remove("--short");
             List<Figure> all = measure(Path.of(args[1]), seed, shortly, more.isEmpty() ? null : more.get(0));
             System.out.println("figures=" + all.size() + " charts="
-                    + Charts.byEngines(all, Path.of(args[1])).size());
+                    + SlopeCharts.writeByEngines(all, Path.of(args[1])).size());
             return;
         }
         Slopes slopes = new Slopes(args[1], Long.parseLong(args[2]), Boolean.parseBoolean(args[3]),
@@ -143,7 +143,7 @@
         System.exit(0);
     }
 
-    /** Tells how far the part came in its time, and ends it. */
+    /** Ends the part at its time limit, and records the CPU time of the measurement that was running. */
     private void cutOff(long thread) {
         Thread watch = new Thread(() -> {
             try {
@@ -172,7 +172,7 @@
         return THREADS.getCurrentThreadCpuTime();
     }
 
-    /** CPU of one call, nanoseconds: after a warm-up, over enough calls to be counted well. */
+    /** Mean CPU time of a call in nanoseconds, after a warm-up, over at least {@link #ENOUGH_NANOS} or the most calls. */
     private double each(String figure, int most, Runnable call) {
         begin(figure);
         long end = cpu() + WARM_NANOS;
@@ -203,15 +203,15 @@
     private void list(String figure) throws IOException {
         begin(figure);
         long before = cpu();
-        front.wholeList();
+        front.deliverFullList();
         keep(figure, "ms", 0, 0, (cpu() - before) / 1e6);
     }
 
     private void events(int most) throws IOException {
-        keep("control_query", "us", 0, 0, each("control_query", most, front::query) / 1e3);
-        keep("control_pulse", "us", 0, 0, each("control_pulse", most, front::pulse) / 1e3);
-        keep("control_report", "us", 0, 0, each("control_report", most, front::report) / 1e3);
-        keep("control_row", "us", 0, 0, each("control_row", most, front::row) / 1e3);
+        keep("control_query", "us", 0, 0, each("control_query", most, front::runShortQuery) / 1e3);
+        keep("control_pulse", "us", 0, 0, each("control_pulse", most, front::firePulse) / 1e3);
+        keep("control_report", "us", 0, 0, each("control_report", most, front::deliverLoadReport) / 1e3);
+        keep("control_row", "us", 0, 0, each("control_row", most, front::deliverRowChange) / 1e3);
     }
 
     private int repeats() {
@@ -219,15 +219,15 @@
     }
 
     private void warm() {
-        Alone front = new Alone(seed, 12, 160, ALL_QUERIES);
+        ControlDriver front = new ControlDriver(seed, 12, 160, ALL_QUERIES);
         for (int k = 0; k < 40; k++) {
-            front.wholeList();
+            front.deliverFullList();
         }
         for (int k = 0; k < 3_000; k++) {
-            front.query();
-            front.pulse();
-            front.report();
-            front.row();
+            front.runShortQuery();
+            front.firePulse();
+            front.deliverLoadReport();
+            front.deliverRowChange();
         }
     }
 
@@ -236,13 +236,13 @@
         fronts = known;
         front = null;
         double before = heapMb();
-        front = new Alone(seed + repeat, known, size, ALL_QUERIES);
+        front = new ControlDriver(seed + repeat, known, size, ALL_QUERIES);
         list("control_list_first");
         events(most);
-        // With all that it has learnt meanwhile.
+        // Includes what the front has recorded about engines and queries meanwhile.
         keep("control_heap", "MB", 0, 0, heapMb() - before);
-        Rig.require(front.submits() > 1, "nothing was submitted");
-        // Last, as it may not end in the time that there is.
+        Rig.require(front.submitCount() > 1, "no query was submitted");
+        // Last, since it may exceed the time limit of the part.
         list("control_list_again");
     }
 
@@ -255,14 +255,14 @@
         }
     }
 
-    /** One repeat each. */
+    /** Measured once for each size. */
     private void large() throws IOException {
         warm();
         one(5_000, FRONTS, 400);
         one(10_000, FRONTS, 60);
     }
 
-    /** The first list alone may take all the time that there is. */
+    /** Apart from the others, since the first list alone may take the whole time limit. */
     private void largest() throws IOException {
         warm();
         one(LARGEST, FRONTS, 20);
@@ -277,22 +277,22 @@
         }
     }
 
-    /** By queries a second that are each out for 50 ms; few fronts, so that the bound is not met. */
+    /** By query rate, each query open for 50 ms; few fronts, so that the front's quota is not reached. */
     private void byRate() throws IOException {
         warm();
         engines = HELD_ENGINES;
         fronts = 4;
         for (double rate : new double[] {20, 200, 1_694, 6_800}) {
             for (repeat = 1; repeat <= repeats(); repeat++) {
-                Alone front = new Alone(seed + repeat, fronts, engines, ALL_QUERIES);
-                front.wholeList();
+                ControlDriver front = new ControlDriver(seed + repeat, fronts, engines, ALL_QUERIES);
+                front.deliverFullList();
                 for (int k = 0; k < rate; k++) {
-                    front.queryOf(rate);
+                    front.runQueryAtRate(rate);
                 }
-                double each = each("control_query", 20_000, () -> front.queryOf(rate)) / 1e3;
-                Rig.require(front.held() >= rate / 20 - 1, front.held() + " queries out at " + rate);
+                double each = each("control_query", 20_000, () -> front.runQueryAtRate(rate)) / 1e3;
+                Rig.require(front.openQueryCount() >= rate / 20 - 1, front.openQueryCount() + " queries open at a rate of " + rate);
                 keep("control_query", "us", rate, 0, each);
-                keep("control_pulse", "us", rate, 0, each("control_pulse", 20_000, front::pulse) / 1e3);
+                keep("control_pulse", "us", rate, 0, each("control_pulse", 20_000, front::firePulse) / 1e3);
             }
         }
     }
@@ -309,19 +309,19 @@
                         JournalReading.holds(sockets, MEMORY_MB).get(what));
             }
         }
-        byte[] small = Alone.wholeEvent(ENGINES[2]);
+        byte[] small = ControlDriver.fullListEvent(ENGINES[2]);
         for (int k = 0; k < 300; k++) {
             reading.read(small, Integer.MAX_VALUE);
         }
         for (int size : new int[] {40, 400, 2_500, 6_000, 12_500, LARGEST}) {
             engines = size;
-            byte[] event = Alone.wholeEvent(size);
+            byte[] event = ControlDriver.fullListEvent(size);
             for (repeat = 1; repeat <= repeats(); repeat++) {
                 begin("journal_event_cpu");
                 keep("journal_event", "B", 0, 0, event.length);
                 keep("journal_event_taken", "rows", 0, 0, Math.max(0, reading.read(event, most)));
                 long allocated = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
-                Rig.require(reading.read(event, Integer.MAX_VALUE) == size, "rows were lost");
+                Rig.require(reading.read(event, Integer.MAX_VALUE) == size, "not all rows of the event were read");
                 keep("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
                         Thread.currentThread().getId()) - allocated) / 1e6);
                 double with = heapMb();
@@ -335,39 +335,39 @@
     }
 
     private void sockets() throws Exception {
-        engines = OneFront.ENGINES;
+        engines = MeasuredFront.ENGINES;
         fronts = 1;
-        try (OneFront front = new OneFront()) {
+        try (MeasuredFront front = new MeasuredFront()) {
             begin("front_idle");
-            // What starts once is compiled meanwhile.
-            front.watch(5_000);
+            // Lets the JIT compile the startup code before the measurement.
+            front.measureIdle(5_000);
             int[] sizes = shortly ? new int[] {0, 100} : new int[] {0, 500, 1_000, 2_000, 4_000};
             for (int connections : sizes) {
                 front.connect(connections);
                 for (repeat = 1; repeat <= repeats(); repeat++) {
-                    OneFront.Used used = front.watch(1_500);
+                    MeasuredFront.Usage used = front.measureIdle(1_500);
                     keep("front_idle_cpu", "core", 0, connections, used.cores());
                     keep("front_idle_memory", "MB", 0, connections, used.memoryMb());
                 }
             }
         }
-        try (OneFront front = new OneFront()) {
+        try (MeasuredFront front = new MeasuredFront()) {
             begin("front_busy");
             front.connect(64);
-            front.serve(400, 6_000);
+            front.measureServing(400, 6_000);
             for (int rate : shortly ? new int[] {100, 400} : new int[] {100, 200, 400, 800}) {
                 for (repeat = 1; repeat <= repeats(); repeat++) {
-                    OneFront.Used used = front.serve(rate, 2_000);
-                    keep("front_busy_cpu", "core", used.perSecond(), 64, used.cores());
-                    keep("front_busy_memory", "MB", used.perSecond(), 64, used.memoryMb());
+                    MeasuredFront.Usage used = front.measureServing(rate, 2_000);
+                    keep("front_busy_cpu", "core", used.queriesPerSecond(), 64, used.cores());
+                    keep("front_busy_memory", "MB", used.queriesPerSecond(), 64, used.memoryMb());
                 }
             }
             for (int connections : shortly ? new int[] {64} : new int[] {64, 256, 1_000, 2_000}) {
                 front.connect(connections);
-                front.serve(200, 500);
+                front.measureServing(200, 500);
                 for (repeat = 1; repeat <= repeats(); repeat++) {
-                    OneFront.Used used = front.serve(200, 2_000);
-                    keep("front_by_connections_cpu", "core", used.perSecond(), connections, used.cores());
+                    MeasuredFront.Usage used = front.measureServing(200, 2_000);
+                    keep("front_by_connections_cpu", "core", used.queriesPerSecond(), connections, used.cores());
                 }
             }
         }
--- a/src/test/java/reedspring/rig/scale/FiguresTest.java
+++ b/src/test/java/reedspring/rig/scale/FiguresTest.java
@@ -51,14 +51,14 @@
     @Example
     void faultsAreToldByFileLineAndColumn() throws IOException {
         fault("", 1, "run: the file is empty");
-        fault("run,figure,unit\n", 1, "fronts: the columns are " + HEAD.trim());
-        fault(HEAD + "r,f,us,1,1,0,0,0,1\n", 2, "value: 9 fields in place of 10");
-        fault(HEAD + "r,f,us,1,1,0,0,0,1,2\nr,f,us,1,x,0,0,0,1,2\n", 3, "engines: 'x' is no count");
-        fault(HEAD + "r,f,us,-1,1,0,0,0,1,2\n", 2, "fronts: '-1' is no count");
+        fault("run,figure,unit\n", 1, "fronts: the columns have to be " + HEAD.trim());
+        fault(HEAD + "r,f,us,1,1,0,0,0,1\n", 2, "value: 9 fields instead of 10");
+        fault(HEAD + "r,f,us,1,1,0,0,0,1,2\nr,f,us,1,x,0,0,0,1,2\n", 3, "engines: 'x' is not a count");
+        fault(HEAD + "r,f,us,-1,1,0,0,0,1,2\n", 2, "fronts: '-1' is not a count");
         fault(HEAD + "\"r\nr\",f,us,1,1,0,0,0,1,2\nr,f,us,1,1,-2,0,0,1,2\n", 4,
-                "queries_per_second: '-2' is no rate");
+                "queries_per_second: '-2' is not a rate");
         fault(HEAD + "r,,us,1,1,0,0,0,1,2\n", 2, "figure: missing");
-        fault(HEAD + "r,f,us,1,1,0,0,0,1,NaN\n", 2, "value: 'NaN' is no number");
+        fault(HEAD + "r,f,us,1,1,0,0,0,1,NaN\n", 2, "value: 'NaN' is not a number");
     }
 
     private void fault(String text, int line, String what) throws IOException {
--- a/src/test/java/reedspring/rig/scale/JournalServiceTest.java
+++ b/src/test/java/reedspring/rig/scale/JournalServiceTest.java
@@ -20,7 +20,7 @@
     private static final int LISTED = 25_000;
     private static final int CHANGES = 300;
 
-    /** One call; its kernel holds little of what it does not read. */
+    /** One connection with a small receive buffer, so that unread data stays with the service. */
     private static final class Caller implements AutoCloseable {
         private final Socket socket = new Socket();
         private final BufferedReader in;
@@ -37,7 +37,7 @@
                     StandardCharsets.US_ASCII), 4_096);
         }
 
-        /** The next event's number and data. */
+        /** Number and data of the next event. */
         private String[] event() throws IOException {
             String id = "";
             for (String line = in.readLine(); ; line = in.readLine()) {
@@ -51,7 +51,7 @@
             }
         }
 
-        /** Whole lists and changes without a gap up to that number; how many events that took. */
+        /** Reads up to the event with that number; requires that no change is skipped, and returns the event count. */
         private int readTo(int number) throws IOException {
             int events = 0;
             for (int at = -1; at < number; events++) {
@@ -78,21 +78,21 @@
     void aWatcherThatReadsSlowlyWhileAListOfFourMegabytesComesHoldsUpNobodyAndMissesNothing()
             throws Exception {
         try (JournalService service = new JournalService(1 << 28)) {
-            service.tell(IntStream.range(0, LISTED).mapToObj(k -> row(k, "ready")).toList());
-            String slow = service.watcher().get(0);
-            String fast = service.watcher().get(1);
+            service.publish(IntStream.range(0, LISTED).mapToObj(k -> row(k, "ready")).toList());
+            String slow = service.addWatcher().get(0);
+            String fast = service.addWatcher().get(1);
             try (Caller slowly = new Caller(slow, 0); Caller fastly = new Caller(fast, 0)) {
-                Rig.await("the slow watcher's call", () -> !service.calledSince(0, 0).isEmpty());
+                Rig.await("the slow watcher's call", () -> !service.requestsSince(0, 0).isEmpty());
                 for (int k = 0; k < CHANGES; k++) {
-                    service.tell(List.of(row(k, "draining")));
+                    service.publish(List.of(row(k, "draining")));
                 }
                 int events = fastly.readTo(CHANGES + 1);
                 assertTrue(fastly.read > 3 << 20, "a whole list of " + fastly.read);
-                // It was told one by one what came while it read, and the other has read nothing yet.
-                assertTrue(events >= 1 && service.inStep().equals(Set.of(1)), "in step: " + service.inStep());
+                // The fast watcher got the changes one by one; the slow one has read nothing yet.
+                assertTrue(events >= 1 && service.upToDateWatchers().equals(Set.of(1)), "in step: " + service.upToDateWatchers());
                 assertEquals(1, service.counts()[0][0], "one event waits for the slow one");
                 slowly.readTo(CHANGES + 1);
-                Rig.await("both in step", () -> service.inStep().equals(Set.of(0, 1)));
+                Rig.await("both in step", () -> service.upToDateWatchers().equals(Set.of(0, 1)));
             }
             assertEquals(null, service.fault());
         }
@@ -101,18 +101,18 @@
     @Example
     void whoCallsAgainGetsWhatItHasMissedAndWhoIsCutGetsNothingUntilItIsOver() throws Exception {
         try (JournalService service = new JournalService(1 << 28)) {
-            service.tell(List.of(row(0, "ready"), row(1, "ready")));
-            service.tell(List.of(row(1, "draining")));
-            String address = service.watcher().get(0);
+            service.publish(List.of(row(0, "ready"), row(1, "ready")));
+            service.publish(List.of(row(1, "draining")));
+            String address = service.addWatcher().get(0);
             try (Caller first = new Caller(address, 1)) {
                 assertEquals("2", first.event()[0]);
-                service.cut(Set.of(0), true);
-                service.tell(List.of(row(1, "gone")));
+                service.setLinkDown(Set.of(0), true);
+                service.publish(List.of(row(1, "gone")));
                 Thread.sleep(100);
-                assertEquals(Set.of(), service.inStep());
-                service.cut(Set.of(0), false);
+                assertEquals(Set.of(), service.upToDateWatchers());
+                service.setLinkDown(Set.of(0), false);
                 assertEquals("3", first.event()[0]);
-                service.away(true);
+                service.setUnavailable(true);
                 Rig.await("the reset", () -> {
                     try {
                         return first.in.read() < 0;
@@ -121,9 +121,9 @@
                     }
                 });
             }
-            service.away(false);
+            service.setUnavailable(false);
             try (Caller again = new Caller(address, 3); Caller anew = new Caller(address, 0)) {
-                service.tell(List.of(row(2, "ready")));
+                service.publish(List.of(row(2, "ready")));
                 assertEquals("4", again.event()[0]);
                 String[] whole = anew.event();
                 assertTrue(whole[1].contains("\"whole\":true") && !whole[1].contains("s-1\""), whole[1]);
--- a/src/test/java/reedspring/rig/scale/PageTest.java
+++ b/src/test/java/reedspring/rig/scale/PageTest.java
@@ -13,21 +13,21 @@
 import reedspring.rig.scale.Figures.Figure;
 
 class PageTest {
-    /** Figures change by a run and its file only, and the page with them: bench/scale --page. */
+    /** The page has to be generated from the committed result files, with bench/scale --page. */
     @Example
     void thePagesTablesAreWhatTheKeptFiguresMake() throws IOException {
         assertEquals(Page.tables(Figures.readAll(Page.RESULTS)),
                 Page.kept(Files.readString(Path.of("docs/CAPACITY.md"))));
     }
 
-    /** A square law of lists and a line of all else, through two sizes: carried on 2.5 times from 10,000. */
+    /** Quadratic cost of lists, linear cost of all else, at two sizes: extrapolated by 2.5 from 10,000 engines. */
     @Example
     void figuresAreCarriedOnByTheirLaw() {
         String tables = Page.tables(made());
-        // 0.01 us an engine: 250 us at 25,000, 1,694.4 times a second
+        // 0.01 us for each engine: 250 us at 25,000, 1,694.4 times a second
         assertTrue(tables.contains("| front | decisions on queries | 1,694/s x 250 us | 0.424 core | 0.043 |"
                 + " 9.85 | 2.5 times past 10,000 engines, by x^1.00 |"), tables);
-        // 1 ms at 1,000 by the square: 625 ms
+        // 1 ms at 1,000, quadratic: 625 ms at 25,000
         assertTrue(tables.contains("| 625 ms once | 0.625 s | 10 | 0.0625 |"), tables);
         assertTrue(tables.contains("| control_query, us | engines | 1,000: 10 / 10 / 10 (1); 10,000:"
                 + " 100 / 100 / 100 (1) | 0.0100 x^1.00, within 1.00 times |"), tables);
--- a/src/test/java/reedspring/rig/scale/ScaleIT.java
+++ b/src/test/java/reedspring/rig/scale/ScaleIT.java
@@ -15,14 +15,14 @@
 import reedspring.rig.Rig;
 import reedspring.rig.fleet.Timetable;
 
-/** The scale run in small. Its verdict rests on rules and counts, never on times. */
+/** A small scale run. It checks rules and counts, never times, which a busy machine may miss. */
 class ScaleIT {
     private static final Path TABLE = Path.of("bench/timetables/scale-ci.ini");
 
     @Example
     void aFewOfEachKindKeepTheRules() throws Exception {
-        try (Run run = new Run(Timetable.read(TABLE), TABLE, new Scale.Size(24, 20, 2), 1, false)) {
-            Run.Result result = run.play();
+        try (ScaleRun run = new ScaleRun(Timetable.read(TABLE), TABLE, new Scale.Size(24, 20, 2), 1, false)) {
+            ScaleRun.Result result = run.play();
             System.out.println(result.line());
             assertEquals(List.of(), result.broken());
             double[] served = result.figures().stream().filter(f -> f.figure().equals("hollow_served")
@@ -56,7 +56,7 @@
         }
     }
 
-    /** With SIGKILL, which it can't see. */
+    /** Killed with SIGKILL, which the main process can't handle. */
     @Example
     void aRunThatIsKilledHalfwayLeavesNoProcessAndNoResults() throws Exception {
         Path out = Files.createTempDirectory("scale");
--- a/src/test/java/reedspring/rig/scale/ChartsTest.java
+++ b/src/test/java/reedspring/rig/scale/SlopeChartsTest.java
@@ -10,11 +10,11 @@
 import net.jqwik.api.Example;
 import reedspring.rig.scale.Figures.Figure;
 
-class ChartsTest {
+class SlopeChartsTest {
     @Example
     void eachUnitWithTwoSizesIsDrawn() throws IOException {
         Path out = Files.createTempDirectory("charts");
-        List<Path> files = Charts.byEngines(List.of(new Figure("r", "query", "us", 3_600, 40, 0, 0, 0, 1, 15),
+        List<Path> files = SlopeCharts.writeByEngines(List.of(new Figure("r", "query", "us", 3_600, 40, 0, 0, 0, 1, 15),
                 new Figure("r", "query", "us", 3_600, 400, 0, 0, 0, 1, 98),
                 new Figure("r", "once", "MB", 3_600, 400, 0, 0, 0, 1, 98)), out);
         assertEquals(List.of(out.resolve("slopes-us.svg")), files);
