--- a/src/rig/java/reedspring/rig/scale/Scale.java
+++ b/src/rig/java/reedspring/rig/scale/Scale.java
@@ -18,10 +18,10 @@
 /** Main class of bench/scale: runs many hollow fronts beside a few real ones, with the events of a timetable. */
 @Command(name = "bench/scale", sortOptions = false)
 public final class Scale implements Callable<Integer> {
-    private static final int USAGE = 64;
-    private static final int UNUSABLE = 78;
-    private static final int UNAVAILABLE = 69;
-    private static final int BROKEN = 1;
+    private static final int EXIT_USAGE = 64;
+    private static final int EXIT_UNUSABLE_CONFIGURATION = 78;
+    private static final int EXIT_UNAVAILABLE = 69;
+    private static final int EXIT_RULE_VIOLATED = 1;
 
     @Option(names = "--seed", paramLabel = "N", description = "of all that is drawn")
     private long seed = 1;
@@ -32,24 +32,24 @@
     @Option(names = "--real", paramLabel = "N", description = "how many of the fronts are started programs")
     private int real;
     @Option(names = "--short", description = "ends in two minutes")
-    private boolean shortly;
+    private boolean shortRun;
     @Option(names = "--timetable", paramLabel = "FILE", description = "what happens when")
     private Path timetable;
     @Option(names = "--out", paramLabel = "DIR", description = "for the figures as CSV and the charts as SVG")
-    private Path out;
+    private Path outDirectory;
     @Option(names = "--page", description = "prints the table of docs/CAPACITY.md from the kept figures")
     private boolean page;
     @Option(names = "--slopes", description = "measures each factor alone instead, into --out")
     private boolean slopes;
 
     public static void main(String[] args) {
-        CommandLine line = new CommandLine(new Scale());
-        line.setParameterExceptionHandler((e, given) -> {
+        CommandLine commandLine = new CommandLine(new Scale());
+        commandLine.setParameterExceptionHandler((e, arguments) -> {
             System.err.println(e.getMessage());
             e.getCommandLine().usage(System.err);
-            return USAGE;
+            return EXIT_USAGE;
         });
-        System.exit(line.execute(args));
+        System.exit(commandLine.execute(args));
     }
 
     @Override
@@ -59,75 +59,75 @@
             return 0;
         }
         if (slopes) {
-            if (out == null) {
+            if (outDirectory == null) {
                 System.err.println("bench/scale: --slopes needs --out");
-                return USAGE;
+                return EXIT_USAGE;
             }
-            Files.createDirectories(out);
-            List<Figures.Figure> all = Slopes.measure(out, seed, shortly, null);
-            System.out.println("figures=" + all.size() + " charts=" + SlopeCharts.writeByEngines(all, out).size());
+            Files.createDirectories(outDirectory);
+            List<Figures.Figure> all = Slopes.measure(outDirectory, seed, shortRun, null);
+            System.out.println("figures=" + all.size() + " charts=" + SlopeCharts.writeByEngines(all, outDirectory).size());
             return 0;
         }
         Path file = timetable != null ? timetable
-                : Path.of("bench/timetables/" + (shortly ? "scale-short.ini" : "scale-day.ini"));
+                : Path.of("bench/timetables/" + (shortRun ? "scale-short.ini" : "scale-day.ini"));
         Timetable table;
         try {
             table = Timetable.read(file);
-        } catch (SettingsException e) {
-            System.err.println(e.getMessage());
-            return UNUSABLE;
+        } catch (SettingsException engineCount) {
+            System.err.println(engineCount.getMessage());
+            return EXIT_UNUSABLE_CONFIGURATION;
         }
-        int f = fronts > 0 ? fronts : table.fronts();
-        int e = engines > 0 ? engines : table.engines();
-        int r = Math.min(f, real > 0 ? real : shortly ? 4 : 8);
-        Size size = new Size(f, e, r);
-        String lacking = size.lacks();
-        if (lacking != null) {
-            System.err.println("bench/scale: " + lacking);
-            return UNAVAILABLE;
+        int frontCount = fronts > 0 ? fronts : table.fronts();
+        int engineCount = engines > 0 ? engines : table.engines();
+        int realCount = Math.min(frontCount, real > 0 ? real : shortRun ? 4 : 8);
+        Size size = new Size(frontCount, engineCount, realCount);
+        String lackingResource = size.lackingResource();
+        if (lackingResource != null) {
+            System.err.println("bench/scale: " + lackingResource);
+            return EXIT_UNAVAILABLE;
         }
-        if (out != null) {
-            Files.createDirectories(out);
+        if (outDirectory != null) {
+            Files.createDirectories(outDirectory);
         }
         try (ScaleRun run = new ScaleRun(table, file, size, seed, true)) {
             ScaleRun.Result result = run.play();
-            if (out != null) {
-                Figures.write(out.resolve("scale.csv"), result.figures());
-                InForceChart.write(out.resolve("in-force.svg"), f + " fronts, " + e + " engines", result.figures());
+            if (outDirectory != null) {
+                Figures.write(outDirectory.resolve("scale.csv"), result.figures());
+                InForceChart.write(outDirectory.resolve("in-force.svg"), frontCount + " fronts, " + engineCount + " engines", result.figures());
             }
-            System.out.println(result.line());
-            result.broken().forEach(what -> System.err.println("BROKEN " + what));
-            return result.broken().isEmpty() ? 0 : BROKEN;
+            System.out.println(result.summary());
+            result.violations().forEach(violation -> System.err.println("BROKEN " + violation));
+            return result.violations().isEmpty() ? 0 : EXIT_RULE_VIOLATED;
         } catch (IOException | IllegalStateException | AssertionError broken) {
             System.err.println("bench/scale: run failed: " + broken.getMessage());
-            return UNAVAILABLE;
+            return EXIT_UNAVAILABLE;
         }
     }
 
     /** Number of fronts, engines, and real fronts among the fronts, and the machine resources that they need. */
-    record Size(int fronts, int engines, int real) {
-        private static final int FRONTS_A_HOST = 250;
-        private static final int ENGINES_A_HOST = 8_192;
-        private static final int OWN = 200;
-        private static final int MOST_PROCESSES = 200;
-        private static final int MAIN_MB = 1024;
+    record Size(int fronts, int engines, int realFronts) {
+        private static final int FRONTS_PER_PROCESS = 250;
+        private static final int ENGINES_PER_PROCESS = 8_192;
+        private static final int BASE_DESCRIPTORS = 200;
+        private static final int MAX_PROCESSES = 200;
+        private static final int MAIN_PROCESS_MB = 1024;
 
-        int hollowHosts() {
-            return (hollow() + FRONTS_A_HOST - 1) / FRONTS_A_HOST;
+        int hollowProcesses() {
+            return (hollowFronts() + FRONTS_PER_PROCESS - 1) / FRONTS_PER_PROCESS;
         }
 
-        int engineHosts() {
-            return (engines + ENGINES_A_HOST - 1) / ENGINES_A_HOST;
+        int engineProcesses() {
+            return (engines + ENGINES_PER_PROCESS - 1) / ENGINES_PER_PROCESS;
         }
 
-        int hollow() {
-            return fronts - real;
+        int hollowFronts() {
+            return fronts - realFronts;
         }
 
         /** Heap of one process of hollow fronts. A front was measured to hold under a kilobyte for each engine. */
         int hollowHeapMb() {
-            int each = (hollow() + Math.max(1, hollowHosts()) - 1) / Math.max(1, hollowHosts());
-            return 192 + (int) (each * (0.25 + engines * 0.0015));
+            int frontsPerProcess = (hollowFronts() + Math.max(1, hollowProcesses()) - 1) / Math.max(1, hollowProcesses());
+            return 192 + (int) (frontsPerProcess * (0.25 + engines * 0.0015));
         }
 
         int realMb() {
@@ -136,31 +136,31 @@
 
         /** Descriptors of the process that needs the most. */
         int descriptors() {
-            int main = OWN + (JournalService.ADDRESSES_PER_WATCHER + 2) * fronts;
-            int engineHost = OWN + Math.min(engines, ENGINES_A_HOST) + 300 * real;
-            int hollowHost = OWN + 2 * Math.min(hollow(), FRONTS_A_HOST);
-            return Math.max(main, Math.max(engineHost, hollowHost));
+            int main = BASE_DESCRIPTORS + (JournalService.ADDRESSES_PER_WATCHER + 2) * fronts;
+            int engineProcess = BASE_DESCRIPTORS + Math.min(engines, ENGINES_PER_PROCESS) + 300 * realFronts;
+            int hollowProcess = BASE_DESCRIPTORS + 2 * Math.min(hollowFronts(), FRONTS_PER_PROCESS);
+            return Math.max(main, Math.max(engineProcess, hollowProcess));
         }
 
         long memoryMb() {
-            return MAIN_MB + (long) hollowHosts() * hollowHeapMb() + engineHosts() * 512L + 256
-                    + (long) real * realMb();
+            return MAIN_PROCESS_MB + (long) hollowProcesses() * hollowHeapMb() + engineProcesses() * 512L + 256
+                    + (long) realFronts * realMb();
         }
 
         /** A message about a resource that the machine lacks, or null. */
-        String lacks() {
+        String lackingResource() {
             var system = ManagementFactory.getOperatingSystemMXBean();
             long limit = system instanceof UnixOperatingSystemMXBean unix
                     ? unix.getMaxFileDescriptorCount() : Long.MAX_VALUE;
-            long half = ((OperatingSystemMXBean) system).getTotalMemorySize() / 2 >> 20;
-            int processes = 2 + hollowHosts() + engineHosts() + real;
+            long halfMemoryMb = ((OperatingSystemMXBean) system).getTotalMemorySize() / 2 >> 20;
+            int processes = 2 + hollowProcesses() + engineProcesses() + realFronts;
             return descriptors() > limit ? String.format(Locale.ROOT,
                     "%d descriptors are needed in one process for %d fronts and %d engines, the limit is %d",
                     descriptors(), fronts, engines, limit)
-                    : memoryMb() > half ? String.format(Locale.ROOT, "%d MB are needed for %d fronts and %d "
-                    + "engines, half of the machine's memory is %d MB", memoryMb(), fronts, engines, half)
-                    : processes > MOST_PROCESSES ? processes + " processes are needed, the most are "
-                    + MOST_PROCESSES : null;
+                    : memoryMb() > halfMemoryMb ? String.format(Locale.ROOT, "%d MB are needed for %d fronts and %d "
+                    + "engines, half of the machine's memory is %d MB", memoryMb(), fronts, engines, halfMemoryMb)
+                    : processes > MAX_PROCESSES ? processes + " processes are needed, the most are "
+                    + MAX_PROCESSES : null;
         }
     }
 }
--- a/src/rig/java/reedspring/rig/scale/ScaleRun.java
+++ b/src/rig/java/reedspring/rig/scale/ScaleRun.java
@@ -33,55 +33,55 @@
  * timetable and checks the rules from outside. Real fronts have the lowest numbers.
  */
 final class ScaleRun implements Closeable {
-    private static final long MS = 1_000_000;
-    private static final long SECOND = 1_000 * MS;
-    private static final long CONFIGURED_WITHIN = 11 * SECOND;
-    private static final long CHANGED_WITHIN = 7 * SECOND;
-    private static final long READY_WITHIN = 10 * SECOND;
-    private static final long DRAIN_SLACK = 250 * MS;
-    private static final long GONE_AFTER = SECOND;
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MS;
+    private static final long CONFIGURED_WITHIN_NANOS = 11 * NANOS_PER_SECOND;
+    private static final long CHANGED_WITHIN_NANOS = 7 * NANOS_PER_SECOND;
+    private static final long READY_WITHIN_NANOS = 10 * NANOS_PER_SECOND;
+    private static final long DRAIN_SLACK_NANOS = 250 * NANOS_PER_MS;
+    private static final long GONE_AFTER_NANOS = NANOS_PER_SECOND;
     /** Greatest peak that is allowed, as a multiple of the rate that pacing aims at. */
-    private static final double PEAK = 3;
+    private static final double MAX_PEAK_RATIO = 3;
     /** Fronts reconnect after 250 to 500 ms each time once an outage of the journal lasts. */
-    private static final double MEAN_WAIT_MS = 375;
-    private static final long BYTES_PER_SECOND = 32 << 20;
-    private static final double HOLLOW_QUERIES = 2;
-    private static final double REAL_QUERIES = 10;
-    private static final int LOOPS = 2;
+    private static final double MEAN_RECONNECT_DELAY_MS = 375;
+    private static final long JOURNAL_BYTES_PER_SECOND = 32 << 20;
+    private static final double HOLLOW_QUERIES_PER_SECOND = 2;
+    private static final double REAL_QUERIES_PER_SECOND = 10;
+    private static final int LOOPS_PER_PROCESS = 2;
 
     /** Figures, summary line and violated rules of a run; it passed if no rule was violated. */
-    record Result(List<Figures.Figure> figures, String line, List<String> broken) {
+    record Result(List<Figures.Figure> figures, String summary, List<String> violations) {
     }
 
-    private final Timetable table;
-    private final Path file;
+    private final Timetable timetable;
+    private final Path timetableFile;
     private final Scale.Size size;
     private final long seed;
-    private final Path folder;
-    private final JournalService journal = new JournalService(BYTES_PER_SECOND);
-    private final List<ChildProcess> hollow = new ArrayList<>();
-    private final List<ChildProcess> engineHosts = new ArrayList<>();
-    private final List<ChildProcess> children = new ArrayList<>();
-    private final Map<Integer, Integer> births = new HashMap<>();
-    private final Map<Integer, Integer> places = new HashMap<>();
-    private final List<List<String>> watchers = new ArrayList<>();
-    private final Set<Integer> down = new HashSet<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Path directory;
+    private final JournalService journal = new JournalService(JOURNAL_BYTES_PER_SECOND);
+    private final List<ChildProcess> hollowProcesses = new ArrayList<>();
+    private final List<ChildProcess> engineProcesses = new ArrayList<>();
+    private final List<ChildProcess> processes = new ArrayList<>();
+    private final Map<Integer, Integer> generations = new HashMap<>();
+    private final Map<Integer, Integer> addressIndexes = new HashMap<>();
+    private final List<List<String>> journalAddresses = new ArrayList<>();
+    private final Set<Integer> downFronts = new HashSet<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Double> figures = new TreeMap<>();
-    private final List<Runnable> checks = new ArrayList<>();
+    private final List<Runnable> finalChecks = new ArrayList<>();
     private final TreeMap<Long, List<Step>> steps = new TreeMap<>();
-    private final List<Fault> faults = new ArrayList<>();
-    private final boolean timed;
-    private final ExecutorService asks = Executors.newCachedThreadPool();
-    private ChildProcess real;
-    private long startedAt;
-    private long changingSince;
-    private final List<Long> changes = new ArrayList<>();
-    private int spares;
+    private final List<Outage> outages = new ArrayList<>();
+    private final boolean checkTimes;
+    private final ExecutorService reloadExecutor = Executors.newCachedThreadPool();
+    private ChildProcess realProcess;
+    private long startNanos;
+    private long firstChangeNanos;
+    private final List<Long> changeNanos = new ArrayList<>();
+    private int nextAddressIndex;
     private String configurationSuffix = "a";
 
     /** A time span in which some fronts could not reach the journal. */
-    private record Fault(long from, long to, Set<Integer> fronts) {
+    private record Outage(long fromNanos, long toNanos, Set<Integer> fronts) {
     }
 
     private interface Step {
@@ -89,31 +89,31 @@
     }
 
     /** @param timed whether to check time limits, which a busy machine may miss */
-    ScaleRun(Timetable table, Path file, Scale.Size size, long seed, boolean timed) throws IOException {
-        this.timed = timed;
-        this.table = table.sized(size.fronts(), size.engines());
-        this.file = file;
+    ScaleRun(Timetable timetable, Path timetableFile, Scale.Size size, long seed, boolean checkTimes) throws IOException {
+        this.checkTimes = checkTimes;
+        this.timetable = timetable.sized(size.fronts(), size.engines());
+        this.timetableFile = timetableFile;
         this.size = size;
         this.seed = seed;
-        this.folder = Files.createTempDirectory("reedspring-scale");
+        this.directory = Files.createTempDirectory("reedspring-scale");
     }
 
-    private ChildProcess child(String role, int heapMb) throws IOException {
-        ChildProcess made = new ChildProcess(role, heapMb, folder.resolve(role + children.size() + ".log"));
-        children.add(made);
-        return made;
+    private ChildProcess startProcess(String role, int heapMb) throws IOException {
+        ChildProcess process = new ChildProcess(role, heapMb, directory.resolve(role + processes.size() + ".log"));
+        processes.add(process);
+        return process;
     }
 
-    private void tell(String text) {
-        System.err.printf(Locale.ROOT, "%6.1f s  %s%n", startedAt == 0 ? 0
-                : (System.nanoTime() - startedAt) / 1e9, text);
+    private void log(String text) {
+        System.err.printf(Locale.ROOT, "%6.1f s  %s%n", startNanos == 0 ? 0
+                : (System.nanoTime() - startNanos) / 1e9, text);
     }
 
     // ---- startup
 
-    private static final int SPARE_PART = 4;
+    private static final int SPARE_DIVISOR = 4;
 
-    private int net() {
+    private int secondOctet() {
         return 40 + (int) (ProcessHandle.current().pid() % 40);
     }
 
@@ -122,535 +122,535 @@
     }
 
     private JournalService.Row row(int engine, String health) {
-        int birth = births.getOrDefault(engine, 0);
-        String address = ChildMain.engineAddress(net(), places.get(engine)) + ":" + port();
-        return new JournalService.Row("e" + engine + "-" + birth, address, String.valueOf(table.site(engine)),
-                Terms.kind(table.cores(engine)), health, 0);
-    }
-
-    private void up() throws IOException {
-        int spare = Math.max(8, size.engines() / SPARE_PART);
-        spares = size.engines();
-        int listening = Math.min(65_536, size.engines() + spare);
-        for (int from = 0; from < listening; from += 8_192) {
-            ChildProcess host = child("engines", 512);
-            engineHosts.add(host);
-            host.execute("start " + net() + " " + port() + " " + from + " " + Math.min(listening, from + 8_192));
-        }
-        IntStream.range(0, size.engines()).forEach(k -> places.put(k, k));
+        int generation = generations.getOrDefault(engine, 0);
+        String address = ChildMain.engineAddress(secondOctet(), addressIndexes.get(engine)) + ":" + port();
+        return new JournalService.Row("e" + engine + "-" + generation, address, String.valueOf(timetable.site(engine)),
+                Terms.kind(timetable.cores(engine)), health, 0);
+    }
+
+    private void startAll() throws IOException {
+        int spareAddresses = Math.max(8, size.engines() / SPARE_DIVISOR);
+        nextAddressIndex = size.engines();
+        int addresses = Math.min(65_536, size.engines() + spareAddresses);
+        for (int first = 0; first < addresses; first += 8_192) {
+            ChildProcess process = startProcess("engines", 512);
+            engineProcesses.add(process);
+            process.execute("start " + secondOctet() + " " + port() + " " + first + " " + Math.min(addresses, first + 8_192));
+        }
+        IntStream.range(0, size.engines()).forEach(k -> addressIndexes.put(k, k));
         journal.publish(IntStream.range(0, size.engines()).mapToObj(k -> row(k, "ready")).toList());
-        tell(size.engines() + " engines are listening");
+        log(size.engines() + " engines are listening");
         for (int k = 0; k < size.fronts(); k++) {
-            watchers.add(journal.addWatcher());
-            String listen = k < size.real() ? Program.freeAddress() : "127.0.0.1:1";
-            listens.add(listen);
-            configure(k);
-        }
-        long from = System.nanoTime();
-        int next = size.real();
-        for (int h = 0; h < size.hollowHosts(); h++) {
-            int until = size.real() + (int) ((long) size.hollow() * (h + 1) / size.hollowHosts());
-            ChildProcess host = child("hollow", size.hollowHeapMb());
-            hollow.add(host);
-            host.execute("start " + folder + " " + list(next, until) + " " + LOOPS + " " + HOLLOW_QUERIES + " "
-                    + file);
-            next = until;
-        }
-        tell(size.hollow() + " hollow fronts started");
-        if (size.real() > 0) {
-            real = child("real", 256);
-            real.execute("start " + folder + " " + list(0, size.real()) + " " + REAL_QUERIES + " " + file);
-            tell(size.real() + " real fronts are ready");
-        }
-        long limit = from + 60 * SECOND;
+            journalAddresses.add(journal.addWatcher());
+            String listen = k < size.realFronts() ? Program.freeAddress() : "127.0.0.1:1";
+            listenAddresses.add(listen);
+            writeConfigurations(k);
+        }
+        long first = System.nanoTime();
+        int nextFront = size.realFronts();
+        for (int index = 0; index < size.hollowProcesses(); index++) {
+            int untilFront = size.realFronts() + (int) ((long) size.hollowFronts() * (index + 1) / size.hollowProcesses());
+            ChildProcess process = startProcess("hollow", size.hollowHeapMb());
+            hollowProcesses.add(process);
+            process.execute("start " + directory + " " + joinNumbers(nextFront, untilFront) + " " + LOOPS_PER_PROCESS + " " + HOLLOW_QUERIES_PER_SECOND + " "
+                    + timetableFile);
+            nextFront = untilFront;
+        }
+        log(size.hollowFronts() + " hollow fronts started");
+        if (size.realFronts() > 0) {
+            realProcess = startProcess("real", 256);
+            realProcess.execute("start " + directory + " " + joinNumbers(0, size.realFronts()) + " " + REAL_QUERIES_PER_SECOND + " " + timetableFile);
+            log(size.realFronts() + " real fronts are ready");
+        }
+        long deadline = first + 60 * NANOS_PER_SECOND;
         while (journal.upToDateWatchers().size() < size.fronts()) {
-            require(System.nanoTime() < limit, "only " + journal.upToDateWatchers().size() + " of " + size.fronts()
+            require(System.nanoTime() < deadline, "only " + journal.upToDateWatchers().size() + " of " + size.fronts()
                     + " fronts are up to date with the journal after a minute");
             pause(50);
         }
-        figure("start_all_in_step", (System.nanoTime() - from) / 1e9);
-        if (real != null) {
-            real.execute("ask");
+        figure("start_all_in_step", (System.nanoTime() - first) / 1e9);
+        if (realProcess != null) {
+            realProcess.execute("ask");
         }
-        startedAt = System.nanoTime();
-        tell("all follow the journal");
+        startNanos = System.nanoTime();
+        log("all follow the journal");
     }
 
-    private final List<String> listens = new ArrayList<>();
+    private final List<String> listenAddresses = new ArrayList<>();
 
     /** Writes a front's configurations: one for each of its journal addresses, and an invalid one. */
-    private void configure(int front) throws IOException {
-        String known = front < size.real() ? journal.known() : "";
-        int position = front < size.real() ? journal.lastEventNumber() : 0;
-        for (int which = 0; which < JournalService.ADDRESSES_PER_WATCHER; which++) {
-            String text = Terms.config(table, front, size.realMb(), listens.get(front),
-                    watchers.get(front).get(which), position, known);
-            write(front, which == 0 ? "a" : "b", text);
-            if (which == 1) {
-                write(front, "bad", text.replaceAll("\"sockets\":[0-9]+", "\"sockets\":10"));
+    private void writeConfigurations(int front) throws IOException {
+        String known = front < size.realFronts() ? journal.known() : "";
+        int position = front < size.realFronts() ? journal.lastEventNumber() : 0;
+        for (int addressIndex = 0; addressIndex < JournalService.ADDRESSES_PER_WATCHER; addressIndex++) {
+            String text = Terms.config(timetable, front, size.realMb(), listenAddresses.get(front),
+                    journalAddresses.get(front).get(addressIndex), position, known);
+            writeConfiguration(front, addressIndex == 0 ? "a" : "b", text);
+            if (addressIndex == 1) {
+                writeConfiguration(front, "bad", text.replaceAll("\"sockets\":[0-9]+", "\"sockets\":10"));
             }
         }
     }
 
-    private void write(int front, String which, String text) throws IOException {
-        Files.writeString(folder.resolve("f" + front + "." + which + ".json"), text);
+    private void writeConfiguration(int front, String suffix, String text) throws IOException {
+        Files.writeString(directory.resolve("f" + front + "." + suffix + ".json"), text);
     }
 
-    private static String list(int from, int until) {
+    private static String joinNumbers(int from, int until) {
         return IntStream.range(from, until).mapToObj(Integer::toString).collect(Collectors.joining(","));
     }
 
     // ---- execution
 
     Result play() throws IOException {
-        up();
-        for (Entry entry : table.entries()) {
-            plan(entry);
-        }
-        long end = (table.length() + table.settle()) * 100_000;
-        while (System.nanoTime() - startedAt < end) {
-            long due = (System.nanoTime() - startedAt) / 100_000;
-            while (!steps.isEmpty() && steps.firstKey() <= due) {
+        startAll();
+        for (Entry entry : timetable.entries()) {
+            scheduleEntry(entry);
+        }
+        long end = (timetable.length() + timetable.settle()) * 100_000;
+        while (System.nanoTime() - startNanos < end) {
+            long dueTicks = (System.nanoTime() - startNanos) / 100_000;
+            while (!steps.isEmpty() && steps.firstKey() <= dueTicks) {
                 for (Step step : steps.pollFirstEntry().getValue()) {
                     step.run();
                 }
             }
-            healthy();
+            requireHealthy();
             pause(2);
         }
-        checks.forEach(Runnable::run);
-        quiet();
+        finalChecks.forEach(Runnable::run);
+        checkFinalState();
         return result();
     }
 
-    private void at(long tenths, Step step) {
-        steps.computeIfAbsent(tenths, k -> new ArrayList<>()).add(step);
+    private void schedule(long ticks, Step step) {
+        steps.computeIfAbsent(ticks, k -> new ArrayList<>()).add(step);
     }
 
-    private void plan(Entry entry) {
-        Set<Integer> fronts = new TreeSet<>(table.frontsOf(entry, seed));
-        Set<Integer> engines = new TreeSet<>(table.enginesOf(entry, seed));
+    private void scheduleEntry(Entry entry) {
+        Set<Integer> fronts = new TreeSet<>(timetable.frontsOf(entry, seed));
+        Set<Integer> engines = new TreeSet<>(timetable.enginesOf(entry, seed));
         switch (entry.what()) {
             case CONFIGURE -> {
                 int count = (int) entry.times();
-                for (int k = 0; k < count; k++) {
-                    boolean last = k == count - 1;
-                    boolean first = k == 0;
+                for (int index = 0; index < count; index++) {
+                    boolean last = index == count - 1;
+                    boolean first = index == 0;
                     // Checked one by one only if the changes are further apart than one may take.
-                    boolean apart = count > 1 && entry.span() / count >= 20_000;
-                    int number = k + 1;
-                    at(entry.at() + entry.span() * k / count, () -> {
+                    boolean checkEach = count > 1 && entry.span() / count >= 20_000;
+                    int number = index + 1;
+                    schedule(entry.at() + entry.span() * index / count, () -> {
                         configurationSuffix = configurationSuffix.equals("a") ? "b" : "a";
                         long now = System.nanoTime();
-                        changingSince = first ? now : changingSince;
-                        changes.add(now);
-                        reload(configurationSuffix);
+                        firstChangeNanos = first ? now : firstChangeNanos;
+                        changeNanos.add(now);
+                        reloadAll(configurationSuffix);
                         if (last) {
-                            figure(entry.title() + " made_in_s", (System.nanoTime() - changingSince) / 1e9);
+                            figure(entry.title() + " made_in_s", (System.nanoTime() - firstChangeNanos) / 1e9);
                         }
-                        if (last || apart) {
-                            configured(entry.title() + (apart ? " " + number : ""), now);
+                        if (last || checkEach) {
+                            checkConfigured(entry.title() + (checkEach ? " " + number : ""), now);
                         }
                     });
                 }
             }
-            case CONFIGURE_BAD -> at(entry.at(), () -> {
+            case CONFIGURE_BAD -> schedule(entry.at(), () -> {
                 long now = System.nanoTime();
-                reload("bad");
-                refused(entry.title(), now);
+                reloadAll("bad");
+                checkRejected(entry.title(), now);
             });
             case PRIMARY -> {
-                int k = 0;
+                int index = 0;
                 for (int engine : engines) {
-                    at(entry.at() + entry.span() * k++ / engines.size(),
-                            () -> primary(entry.title(), engine));
+                    schedule(entry.at() + entry.span() * index++ / engines.size(),
+                            () -> replaceAtOnce(entry.title(), engine));
                 }
             }
             case REPLACE -> {
-                int k = 0;
+                int index = 0;
                 for (int engine : engines) {
-                    at(entry.at() + entry.span() * k++ / engines.size(),
-                            () -> replace(entry.title(), engine));
+                    schedule(entry.at() + entry.span() * index++ / engines.size(),
+                            () -> replaceAfterDrain(entry.title(), engine));
                 }
             }
             case LOSE -> {
-                at(entry.at(), () -> inForce(entry.title() + " gone", journal.publish(engines.stream()
+                schedule(entry.at(), () -> expectInForce(entry.title() + " gone", journal.publish(engines.stream()
                         .map(e -> row(e, "gone")).toList())));
-                at(entry.until(), () -> {
-                    engines.forEach(e -> births.merge(e, 1, Integer::sum));
-                    inForce(entry.title() + " back", journal.publish(engines.stream().map(e -> row(e, "ready"))
+                schedule(entry.until(), () -> {
+                    engines.forEach(e -> generations.merge(e, 1, Integer::sum));
+                    expectInForce(entry.title() + " back", journal.publish(engines.stream().map(e -> row(e, "ready"))
                             .toList()));
                 });
             }
             case KILL -> {
-                at(entry.at(), () -> kill(entry.title(), fronts));
-                at(entry.until(), () -> revive(entry.title(), fronts));
+                schedule(entry.at(), () -> kill(entry.title(), fronts));
+                schedule(entry.until(), () -> revive(entry.title(), fronts));
             }
             case CUT -> {
-                at(entry.at(), () -> {
-                    tell(entry.title() + ": cutting the link of " + fronts.size() + " fronts to the journal");
+                schedule(entry.at(), () -> {
+                    log(entry.title() + ": cutting the link of " + fronts.size() + " fronts to the journal");
                     journal.setLinkDown(fronts, true);
-                    fault(entry, fronts);
+                    recordOutage(entry, fronts);
                 });
-                at(entry.until(), () -> journal.setLinkDown(fronts, false));
+                schedule(entry.until(), () -> journal.setLinkDown(fronts, false));
             }
             case JOURNAL_AWAY -> {
-                at(entry.at(), () -> {
-                    tell(entry.title() + ": stopping the journal service");
+                schedule(entry.at(), () -> {
+                    log(entry.title() + ": stopping the journal service");
                     journal.setUnavailable(true);
-                    fault(entry, live());
+                    recordOutage(entry, liveFronts());
                 });
-                at(entry.until(), () -> back(entry.title()));
+                schedule(entry.until(), () -> endOutage(entry.title()));
             }
             default -> throw new IllegalStateException("[" + entry.title() + "] what: "
                     + entry.what().name().toLowerCase(Locale.ROOT) + " is not supported by bench/scale");
         }
     }
 
-    private void fault(Entry entry, Set<Integer> fronts) {
+    private void recordOutage(Entry entry, Set<Integer> fronts) {
         long now = System.nanoTime();
-        faults.add(new Fault(now, now + entry.span() * 100_000, fronts));
+        outages.add(new Outage(now, now + entry.span() * 100_000, fronts));
     }
 
-    private void reload(String which) throws IOException {
-        List<CompletableFuture<Void>> told = new ArrayList<>();
-        for (ChildProcess host : fronts()) {
-            told.add(CompletableFuture.runAsync(() -> {
+    private void reloadAll(String suffix) throws IOException {
+        List<CompletableFuture<Void>> reloads = new ArrayList<>();
+        for (ChildProcess process : frontProcesses()) {
+            reloads.add(CompletableFuture.runAsync(() -> {
                 try {
-                    host.execute("reload " + which);
+                    process.execute("reload " + suffix);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-            }, asks));
+            }, reloadExecutor));
         }
         try {
-            told.forEach(CompletableFuture::join);
+            reloads.forEach(CompletableFuture::join);
         } catch (CompletionException e) {
             throw new IOException(e.getCause().getMessage(), e);
         }
     }
 
-    private List<ChildProcess> fronts() {
-        return Stream.concat(hollow.stream(), Stream.ofNullable(real)).toList();
+    private List<ChildProcess> frontProcesses() {
+        return Stream.concat(hollowProcesses.stream(), Stream.ofNullable(realProcess)).toList();
     }
 
     /** Checks a configuration: it is in force once a front connects to the journal address that it names, and no other. */
-    private void configured(String title, long since) {
-        int expected = configurationSuffix.equals("a") ? 0 : 1;
-        tell(title + ": configuration written");
-        Set<Integer> live = live();
-        checks.add(() -> {
-            List<Long> times = new ArrayList<>();
-            long next = changes.stream().filter(at -> at > since).findFirst().orElse(Long.MAX_VALUE);
-            for (int front : live) {
-                List<long[]> calls = journal.requestsSince(front, since);
-                long first = 0;
-                for (long[] call : calls) {
-                    first = call[1] >= next ? first : call[0] != expected ? 0 : first == 0 ? call[1] : first;
+    private void checkConfigured(String title, long sinceNanos) {
+        int expectedIndex = configurationSuffix.equals("a") ? 0 : 1;
+        log(title + ": configuration written");
+        Set<Integer> fronts = liveFronts();
+        finalChecks.add(() -> {
+            List<Long> delays = new ArrayList<>();
+            long nextChangeNanos = changeNanos.stream().filter(at -> at > sinceNanos).findFirst().orElse(Long.MAX_VALUE);
+            for (int front : fronts) {
+                List<long[]> requests = journal.requestsSince(front, sinceNanos);
+                long connectedNanos = 0;
+                for (long[] request : requests) {
+                    connectedNanos = request[1] >= nextChangeNanos ? connectedNanos : request[0] != expectedIndex ? 0 : connectedNanos == 0 ? request[1] : connectedNanos;
                 }
-                if (down.contains(front) || killedSince(front, since)) {
+                if (downFronts.contains(front) || restartedSince(front, sinceNanos)) {
                     continue;
                 }
-                if (first == 0) {
-                    broken.add(title + ": not in force at front " + front);
+                if (connectedNanos == 0) {
+                    violations.add(title + ": not in force at front " + front);
                 } else {
-                    times.add(first - since);
+                    delays.add(connectedNanos - sinceNanos);
                 }
             }
-            spread(title + " in force", times, CONFIGURED_WITHIN, since);
+            recordDelays(title + " in force", delays, CONFIGURED_WITHIN_NANOS, sinceNanos);
         });
     }
 
-    private boolean killedSince(int front, long since) {
-        return kills.getOrDefault(front, 0L) >= since;
+    private boolean restartedSince(int front, long sinceNanos) {
+        return restartNanos.getOrDefault(front, 0L) >= sinceNanos;
     }
 
-    private final Map<Integer, Long> kills = new HashMap<>();
+    private final Map<Integer, Long> restartNanos = new HashMap<>();
 
     /** Checks that all fronts reject the invalid configuration, log the field, and keep the old one. */
-    private void refused(String title, long since) {
-        Set<Integer> live = live();
-        tell(title + ": invalid configuration written");
-        Map<Integer, Long> stood = new HashMap<>();
-        live.forEach(front -> stood.put(front, lastAddress(front)));
-        at((since - startedAt) / 100_000 + 30_000, () -> {
-            for (int front : live) {
-                if (!killedSince(front, since) && lastAddress(front) != stood.get(front)) {
-                    broken.add(title + ": front " + front + " changed its journal address for an invalid configuration");
+    private void checkRejected(String title, long sinceNanos) {
+        Set<Integer> fronts = liveFronts();
+        log(title + ": invalid configuration written");
+        Map<Integer, Long> indexBefore = new HashMap<>();
+        fronts.forEach(front -> indexBefore.put(front, lastAddressIndex(front)));
+        schedule((sinceNanos - startNanos) / 100_000 + 30_000, () -> {
+            for (int front : fronts) {
+                if (!restartedSince(front, sinceNanos) && lastAddressIndex(front) != indexBefore.get(front)) {
+                    violations.add(title + ": front " + front + " changed its journal address for an invalid configuration");
                 }
             }
-            Set<Integer> named = new HashSet<>();
-            for (ChildProcess host : fronts()) {
-                host.executePerFront("logged configuration_can't_be_used,_nothing_changed:_limits.sockets").forEach(
+            Set<Integer> rejecting = new HashSet<>();
+            for (ChildProcess process : frontProcesses()) {
+                process.executePerFront("logged configuration_can't_be_used,_nothing_changed:_limits.sockets").forEach(
                         (front, count) -> {
                             if (!count.equals("0")) {
-                                named.add(front);
+                                rejecting.add(front);
                             }
                         });
             }
-            live.removeAll(down);
-            Set<Integer> silent = new TreeSet<>(live);
-            silent.removeAll(named);
+            fronts.removeAll(downFronts);
+            Set<Integer> silent = new TreeSet<>(fronts);
+            silent.removeAll(rejecting);
             if (!silent.isEmpty()) {
-                broken.add(title + ": invalid configuration not rejected by fronts " + silent);
+                violations.add(title + ": invalid configuration not rejected by fronts " + silent);
             }
-            figure("refused", named.size());
+            figure("refused", rejecting.size());
         });
     }
 
-    private long lastAddress(int front) {
-        List<long[]> calls = journal.requestsSince(front, 0);
-        return calls.get(calls.size() - 1)[0];
+    private long lastAddressIndex(int front) {
+        List<long[]> requests = journal.requestsSince(front, 0);
+        return requests.get(requests.size() - 1)[0];
     }
 
-    private Set<Integer> live() {
-        Set<Integer> live = IntStream.range(0, size.fronts()).boxed().collect(Collectors.toCollection(
+    private Set<Integer> liveFronts() {
+        Set<Integer> fronts = IntStream.range(0, size.fronts()).boxed().collect(Collectors.toCollection(
                 TreeSet::new));
-        live.removeAll(down);
-        return live;
+        fronts.removeAll(downFronts);
+        return fronts;
     }
 
-    private void primary(String title, int engine) throws IOException {
-        int before = places.get(engine);
+    private void replaceAtOnce(String title, int engine) throws IOException {
+        int oldAddressIndex = addressIndexes.get(engine);
         JournalService.Row old = row(engine, "draining");
-        births.merge(engine, 1, Integer::sum);
-        places.put(engine, spares++ % (size.engines() + Math.max(8, size.engines() / SPARE_PART)));
-        JournalService.Row fresh = row(engine, "ready");
-        int number = journal.publish(List.of(old, fresh));
-        long told = System.nanoTime();
-        tell(title + ": " + old.engine() + " drains, replaced by " + fresh.engine());
-        inForce(title, number, told);
-        at((told - startedAt + GONE_AFTER) / 100_000, () -> journal.publish(List.of(new JournalService.Row(
+        generations.merge(engine, 1, Integer::sum);
+        addressIndexes.put(engine, nextAddressIndex++ % (size.engines() + Math.max(8, size.engines() / SPARE_DIVISOR)));
+        JournalService.Row replacement = row(engine, "ready");
+        int eventNumber = journal.publish(List.of(old, replacement));
+        long publishedNanos = System.nanoTime();
+        log(title + ": " + old.engine() + " drains, replaced by " + replacement.engine());
+        expectInForce(title, eventNumber, publishedNanos);
+        schedule((publishedNanos - startNanos + GONE_AFTER_NANOS) / 100_000, () -> journal.publish(List.of(new JournalService.Row(
                 old.engine(), old.address(), old.zone(), old.kind(), "gone", 0))));
-        checks.add(() -> {
+        finalChecks.add(() -> {
             try {
-                Map<Integer, String> sent = new TreeMap<>();
-                for (ChildProcess host : hollow) {
-                    sent.putAll(host.executePerFront("sent " + old.engine()));
+                Map<Integer, String> lastSent = new TreeMap<>();
+                for (ChildProcess process : hollowProcesses) {
+                    lastSent.putAll(process.executePerFront("sent " + old.engine()));
                 }
-                sent.putAll(engineHosts.get(before / 8_192).executePerFront("sent " + before));
-                sent.forEach((front, when) -> {
-                    boolean reached = faults.stream().noneMatch(fault -> fault.fronts.contains(front)
-                            && fault.from < told + SECOND && fault.to > told - SECOND);
-                    long within = timed && reached ? Terms.DRAIN_MS * MS : CHANGED_WITHIN;
-                    if (Long.parseLong(when) > told + within + DRAIN_SLACK) {
-                        broken.add(title + ": front " + front + " sent to " + old.engine() + " "
-                                + (Long.parseLong(when) - told) / MS + " ms after the draining row was published");
+                lastSent.putAll(engineProcesses.get(oldAddressIndex / 8_192).executePerFront("sent " + oldAddressIndex));
+                lastSent.forEach((front, nanos) -> {
+                    boolean reachable = outages.stream().noneMatch(fault -> fault.fronts.contains(front)
+                            && fault.fromNanos < publishedNanos + NANOS_PER_SECOND && fault.toNanos > publishedNanos - NANOS_PER_SECOND);
+                    long limitNanos = checkTimes && reachable ? Terms.DRAIN_MS * NANOS_PER_MS : CHANGED_WITHIN_NANOS;
+                    if (Long.parseLong(nanos) > publishedNanos + limitNanos + DRAIN_SLACK_NANOS) {
+                        violations.add(title + ": front " + front + " sent to " + old.engine() + " "
+                                + (Long.parseLong(nanos) - publishedNanos) / NANOS_PER_MS + " ms after the draining row was published");
                     }
                 });
-                long users = 0;
-                for (ChildProcess host : hollow) {
-                    users += host.executePerFront("first " + fresh.engine()).values().stream()
-                            .filter(when -> !when.equals("0")).count();
+                long usingFronts = 0;
+                for (ChildProcess process : hollowProcesses) {
+                    usingFronts += process.executePerFront("first " + replacement.engine()).values().stream()
+                            .filter(nanos -> !nanos.equals("0")).count();
                 }
-                figure(title + " users_of_the_new", users);
+                figure(title + " users_of_the_new", usingFronts);
             } catch (IOException e) {
-                broken.add(title + ": " + e.getMessage());
+                violations.add(title + ": " + e.getMessage());
             }
         });
     }
 
-    private void replace(String title, int engine) throws IOException {
+    private void replaceAfterDrain(String title, int engine) throws IOException {
         JournalService.Row old = row(engine, "draining");
-        inForce(title, journal.publish(List.of(old)));
-        at((System.nanoTime() - startedAt + GONE_AFTER) / 100_000, () -> {
+        expectInForce(title, journal.publish(List.of(old)));
+        schedule((System.nanoTime() - startNanos + GONE_AFTER_NANOS) / 100_000, () -> {
             JournalService.Row gone = new JournalService.Row(old.engine(), old.address(), old.zone(),
                     old.kind(), "gone", 0);
-            births.merge(engine, 1, Integer::sum);
-            JournalService.Row fresh = row(engine, "ready");
-            inForce(title, journal.publish(List.of(gone, new JournalService.Row(fresh.engine(), fresh.address(),
-                    fresh.zone(), fresh.kind(), "ready", System.currentTimeMillis()))));
+            generations.merge(engine, 1, Integer::sum);
+            JournalService.Row replacement = row(engine, "ready");
+            expectInForce(title, journal.publish(List.of(gone, new JournalService.Row(replacement.engine(), replacement.address(),
+                    replacement.zone(), replacement.kind(), "ready", System.currentTimeMillis()))));
         });
     }
 
-    private void inForce(String title, int number) {
-        inForce(title, number, System.nanoTime());
+    private void expectInForce(String title, int eventNumber) {
+        expectInForce(title, eventNumber, System.nanoTime());
     }
 
-    private final Map<String, List<long[]>> events = new TreeMap<>();
+    private final Map<String, List<long[]>> eventsByTitle = new TreeMap<>();
 
-    private void inForce(String title, int number, long told) {
-        events.computeIfAbsent(title, k -> new ArrayList<>()).add(new long[] {number, told});
+    private void expectInForce(String title, int eventNumber, long publishedNanos) {
+        eventsByTitle.computeIfAbsent(title, k -> new ArrayList<>()).add(new long[] {eventNumber, publishedNanos});
     }
 
     /** Checks that each event is in force at each hollow front; records the delays of fronts not restarted since. */
-    private void checkEvents(String title, List<long[]> told) {
+    private void checkEvents(String title, List<long[]> published) {
         try {
-            List<Long> times = new ArrayList<>();
-            long first = 0;
-            for (long[] event : told) {
-                first = first == 0 ? event[1] : first;
-                for (ChildProcess host : hollow) {
-                    for (Map.Entry<Integer, String> front : host.executePerFront("force " + event[0]).entrySet()) {
-                        long at = Long.parseLong(front.getValue());
-                        if (at == 0) {
-                            broken.add(title + ": event " + event[0] + " is not in force at front "
+            List<Long> delays = new ArrayList<>();
+            long firstNanos = 0;
+            for (long[] event : published) {
+                firstNanos = firstNanos == 0 ? event[1] : firstNanos;
+                for (ChildProcess process : hollowProcesses) {
+                    for (Map.Entry<Integer, String> front : process.executePerFront("force " + event[0]).entrySet()) {
+                        long nanos = Long.parseLong(front.getValue());
+                        if (nanos == 0) {
+                            violations.add(title + ": event " + event[0] + " is not in force at front "
                                     + front.getKey());
-                        } else if (kills.getOrDefault(front.getKey(), 0L) < event[1]) {
-                            times.add(Math.max(0, at - event[1]));
+                        } else if (restartNanos.getOrDefault(front.getKey(), 0L) < event[1]) {
+                            delays.add(Math.max(0, nanos - event[1]));
                         }
                     }
                 }
             }
-            spread(title + " in force", times, CHANGED_WITHIN, first);
+            recordDelays(title + " in force", delays, CHANGED_WITHIN_NANOS, firstNanos);
         } catch (IOException e) {
-            broken.add(title + ": " + e.getMessage());
+            violations.add(title + ": " + e.getMessage());
         }
     }
 
-    private void spread(String title, List<Long> times, long within, long since) {
-        if (times.isEmpty()) {
-            broken.add(title + ": no front reported a time");
+    private void recordDelays(String title, List<Long> delays, long limitNanos, long sinceNanos) {
+        if (delays.isEmpty()) {
+            violations.add(title + ": no front reported a time");
             return;
         }
-        times.sort(Comparator.naturalOrder());
-        long last = times.get(times.size() - 1);
-        figure(title + " first", times.get(0) / 1e6);
-        figure(title + " median", times.get(times.size() / 2) / 1e6);
-        figure(title + " 99th", times.get((int) Math.ceil(times.size() * 0.99) - 1) / 1e6);
-        figure(title + " last", last / 1e6);
-        if (timed && last > within) {
-            broken.add(String.format(Locale.ROOT,
+        delays.sort(Comparator.naturalOrder());
+        long longest = delays.get(delays.size() - 1);
+        figure(title + " first", delays.get(0) / 1e6);
+        figure(title + " median", delays.get(delays.size() / 2) / 1e6);
+        figure(title + " 99th", delays.get((int) Math.ceil(delays.size() * 0.99) - 1) / 1e6);
+        figure(title + " last", longest / 1e6);
+        if (checkTimes && longest > limitNanos) {
+            violations.add(String.format(Locale.ROOT,
                     "%s at the last front after %.1f s, %d s are allowed (%.1f s)", title,
-                    last / 1e9, within / SECOND, (since - startedAt) / 1e9));
+                    longest / 1e9, limitNanos / NANOS_PER_SECOND, (sinceNanos - startNanos) / 1e9));
         }
     }
 
-    private Map<ChildProcess, String> byHost(Set<Integer> fronts) {
-        Map<ChildProcess, String> by = new HashMap<>();
+    private Map<ChildProcess, String> numbersByProcess(Set<Integer> fronts) {
+        Map<ChildProcess, String> numbers = new HashMap<>();
         for (int front : fronts) {
-            by.merge(hostOf(front), Integer.toString(front), (all, one) -> all + "," + one);
+            numbers.merge(processOf(front), Integer.toString(front), (all, one) -> all + "," + one);
         }
-        return by;
+        return numbers;
     }
 
-    private ChildProcess hostOf(int front) {
-        return front < size.real() ? real : hollow.get(IntStream.range(0, hollow.size())
-                .filter(h -> front < size.real() + (int) ((long) size.hollow() * (h + 1) / hollow.size()))
+    private ChildProcess processOf(int front) {
+        return front < size.realFronts() ? realProcess : hollowProcesses.get(IntStream.range(0, hollowProcesses.size())
+                .filter(index -> front < size.realFronts() + (int) ((long) size.hollowFronts() * (index + 1) / hollowProcesses.size()))
                 .findFirst().orElseThrow());
     }
 
     private void kill(String title, Set<Integer> fronts) throws IOException {
-        tell(title + ": " + fronts.size() + " fronts killed");
-        for (Map.Entry<ChildProcess, String> host : byHost(fronts).entrySet()) {
-            host.getKey().execute("kill " + host.getValue());
+        log(title + ": " + fronts.size() + " fronts killed");
+        for (Map.Entry<ChildProcess, String> entry : numbersByProcess(fronts).entrySet()) {
+            entry.getKey().execute("kill " + entry.getValue());
         }
         for (int front : fronts) {
-            down.add(front);
-            kills.put(front, System.nanoTime());
+            downFronts.add(front);
+            restartNanos.put(front, System.nanoTime());
             journal.resetConnections(front);
         }
     }
 
     private void revive(String title, Set<Integer> fronts) throws IOException {
         for (int front : fronts) {
-            configure(front);
-            down.remove(front);
-            kills.put(front, System.nanoTime());
-        }
-        int number = journal.lastEventNumber();
-        long since = System.nanoTime();
-        for (Map.Entry<ChildProcess, String> host : byHost(fronts).entrySet()) {
-            String took = host.getKey().execute("revive " + host.getValue());
-            if (host.getKey() == real) {
-                spread(title + " ready real", new ArrayList<>(List.of(Long.parseLong(took))), READY_WITHIN,
-                        since);
+            writeConfigurations(front);
+            downFronts.remove(front);
+            restartNanos.put(front, System.nanoTime());
+        }
+        int eventNumber = journal.lastEventNumber();
+        long sinceNanos = System.nanoTime();
+        for (Map.Entry<ChildProcess, String> host : numbersByProcess(fronts).entrySet()) {
+            String readyNanos = host.getKey().execute("revive " + host.getValue());
+            if (host.getKey() == realProcess) {
+                recordDelays(title + " ready real", new ArrayList<>(List.of(Long.parseLong(readyNanos))), READY_WITHIN_NANOS,
+                        sinceNanos);
             }
         }
-        checks.add(() -> {
+        finalChecks.add(() -> {
             try {
-                List<Long> times = new ArrayList<>();
-                for (ChildProcess host : hollow) {
-                    host.executePerFront("force " + number).forEach((front, when) -> {
+                List<Long> delays = new ArrayList<>();
+                for (ChildProcess host : hollowProcesses) {
+                    host.executePerFront("force " + eventNumber).forEach((front, nanos) -> {
                         if (fronts.contains(front)) {
-                            times.add(when.equals("0") ? Long.MAX_VALUE : Long.parseLong(when) - since);
+                            delays.add(nanos.equals("0") ? Long.MAX_VALUE : Long.parseLong(nanos) - sinceNanos);
                         }
                     });
                 }
-                if (!times.isEmpty()) {
-                    spread(title + " ready hollow", times, READY_WITHIN, since);
+                if (!delays.isEmpty()) {
+                    recordDelays(title + " ready hollow", delays, READY_WITHIN_NANOS, sinceNanos);
                 }
             } catch (IOException e) {
-                broken.add(title + ": " + e.getMessage());
+                violations.add(title + ": " + e.getMessage());
             }
         });
     }
 
-    private void back(String title) {
+    private void endOutage(String title) {
         journal.setUnavailable(false);
-        long since = System.nanoTime();
-        checks.add(() -> {
-            long[] peaks = journal.peakLoad(since, since + 5 * SECOND);
-            double aimed = Math.max(1, size.fronts() * 100 / MEAN_WAIT_MS);
+        long sinceNanos = System.nanoTime();
+        finalChecks.add(() -> {
+            long[] peaks = journal.peakLoad(sinceNanos, sinceNanos + 5 * NANOS_PER_SECOND);
+            double targetRequests = Math.max(1, size.fronts() * 100 / MEAN_RECONNECT_DELAY_MS);
             figure(title + " calls_in_100ms", peaks[0]);
-            figure(title + " calls_over_aim", peaks[0] / aimed);
+            figure(title + " calls_over_aim", peaks[0] / targetRequests);
             figure(title + " bytes_in_1s", peaks[1]);
-            figure(title + " bytes_over_aim", (double) peaks[1] / BYTES_PER_SECOND);
-            if (timed && peaks[0] > PEAK * aimed) {
-                broken.add(String.format(Locale.ROOT, "%s: %d requests in 100 ms, pacing aims at %.0f", title,
-                        peaks[0], aimed));
+            figure(title + " bytes_over_aim", (double) peaks[1] / JOURNAL_BYTES_PER_SECOND);
+            if (checkTimes && peaks[0] > MAX_PEAK_RATIO * targetRequests) {
+                violations.add(String.format(Locale.ROOT, "%s: %d requests in 100 ms, pacing aims at %.0f", title,
+                        peaks[0], targetRequests));
             }
-            if (peaks[1] > PEAK * BYTES_PER_SECOND) {
-                broken.add(title + ": " + peaks[1] + " bytes in 1 s, pacing aims at " + BYTES_PER_SECOND);
+            if (peaks[1] > MAX_PEAK_RATIO * JOURNAL_BYTES_PER_SECOND) {
+                violations.add(title + ": " + peaks[1] + " bytes in 1 s, pacing aims at " + JOURNAL_BYTES_PER_SECOND);
             }
-            for (int front : live()) {
-                if (!killedSince(front, since) && journal.requestsSince(front, since).isEmpty()) {
-                    broken.add(title + ": front " + front + " has not reconnected to the journal");
+            for (int front : liveFronts()) {
+                if (!restartedSince(front, sinceNanos) && journal.requestsSince(front, sinceNanos).isEmpty()) {
+                    violations.add(title + ": front " + front + " has not reconnected to the journal");
                 }
             }
         });
     }
 
     /** Final checks: all fronts are up to date with the same list, and none has exited or logged a fault. */
-    private void quiet() throws IOException {
-        events.forEach(this::checkEvents);
-        Set<Integer> live = live();
-        long limit = System.nanoTime() + 12 * SECOND;
-        while (!journal.upToDateWatchers().containsAll(live) && System.nanoTime() < limit) {
+    private void checkFinalState() throws IOException {
+        eventsByTitle.forEach(this::checkEvents);
+        Set<Integer> behind = liveFronts();
+        long deadline = System.nanoTime() + 12 * NANOS_PER_SECOND;
+        while (!journal.upToDateWatchers().containsAll(behind) && System.nanoTime() < deadline) {
             pause(50);
         }
-        live.removeAll(journal.upToDateWatchers());
-        if (!live.isEmpty()) {
-            broken.add("fronts " + live + " are not up to date with the journal at the end");
+        behind.removeAll(journal.upToDateWatchers());
+        if (!behind.isEmpty()) {
+            violations.add("fronts " + behind + " are not up to date with the journal at the end");
         }
         String digest = Long.toString(journal.digest());
-        for (ChildProcess host : hollow) {
-            host.executePerFront("digest").forEach((front, own) -> {
-                if (!own.equals(digest)) {
-                    broken.add("front " + front + " has a list that differs from the published one");
+        for (ChildProcess process : hollowProcesses) {
+            process.executePerFront("digest").forEach((front, frontDigest) -> {
+                if (!frontDigest.equals(digest)) {
+                    violations.add("front " + front + " has a list that differs from the published one");
                 }
             });
         }
-        if (real != null) {
-            real.execute("quiet");
-            real.executePerFront("alive").forEach((front, alive) -> {
+        if (realProcess != null) {
+            realProcess.execute("quiet");
+            realProcess.executePerFront("alive").forEach((front, alive) -> {
                 if (!alive.equals("true")) {
-                    broken.add("front " + front + " exited unexpectedly");
+                    violations.add("front " + front + " exited unexpectedly");
                 }
             });
         }
         for (String fault : List.of("a_decision_failed", "an_action_failed", "a_timer_failed")) {
-            for (ChildProcess host : fronts()) {
-                host.executePerFront("logged " + fault).forEach((front, count) -> {
+            for (ChildProcess process : frontProcesses()) {
+                process.executePerFront("logged " + fault).forEach((front, count) -> {
                     if (!count.equals("0")) {
-                        broken.add("front " + front + ": " + fault.replace('_', ' '));
+                        violations.add("front " + front + ": " + fault.replace('_', ' '));
                     }
                 });
             }
         }
     }
 
-    private void healthy() throws IOException {
+    private void requireHealthy() throws IOException {
         String fault = journal.fault();
         require(fault == null, fault);
-        for (ChildProcess one : children) {
-            require(one.process.isAlive(), "a child process exited unexpectedly");
+        for (ChildProcess process : processes) {
+            require(process.process.isAlive(), "a child process exited unexpectedly");
         }
     }
 
-    private static void require(boolean holds, String what) throws IOException {
-        if (!holds) {
-            throw new IOException(what);
+    private static void require(boolean condition, String message) throws IOException {
+        if (!condition) {
+            throw new IOException(message);
         }
     }
 
@@ -667,23 +667,23 @@
     }
 
     private Result result() throws IOException {
-        double seconds = (System.nanoTime() - startedAt) / 1e9;
-        long cpu = 0;
-        long heap = 0;
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        long cpuNanos = 0;
+        long heapBytes = 0;
         long[] queries = new long[3];
-        for (ChildProcess host : hollow) {
-            String[] cost = host.execute("cost").split(" ");
-            cpu += Long.parseLong(cost[0]);
-            heap += Long.parseLong(cost[1]);
-            for (String counts : host.executePerFront("queries").values()) {
-                String[] each = counts.split("/");
-                IntStream.range(0, 3).forEach(k -> queries[k] += Long.parseLong(each[k]));
+        for (ChildProcess process : hollowProcesses) {
+            String[] cost = process.execute("cost").split(" ");
+            cpuNanos += Long.parseLong(cost[0]);
+            heapBytes += Long.parseLong(cost[1]);
+            for (String counts : process.executePerFront("queries").values()) {
+                String[] fields = counts.split("/");
+                IntStream.range(0, 3).forEach(k -> queries[k] += Long.parseLong(fields[k]));
             }
         }
         long[][] counts = journal.counts();
-        int hollows = Math.max(1, size.hollow());
-        figure("hollow_cpu_share", cpu / 1e9 / seconds / hollows);
-        figure("hollow_heap_mb", heap / 1048576.0 / hollows);
+        int hollowFronts = Math.max(1, size.hollowFronts());
+        figure("hollow_cpu_share", cpuNanos / 1e9 / seconds / hollowFronts);
+        figure("hollow_heap_mb", heapBytes / 1048576.0 / hollowFronts);
         figure("hollow_asked", queries[0]);
         figure("hollow_answered", queries[1]);
         figure("hollow_served", queries[2]);
@@ -691,33 +691,33 @@
         figure("journal_messages_a_watcher", Arrays.stream(counts).mapToLong(c -> c[0]).average().orElse(0));
         figure("journal_bytes_a_watcher", Arrays.stream(counts).mapToLong(c -> c[1]).average().orElse(0));
         if (queries[1] == 0) {
-            broken.add("hollow fronts answered no query");
+            violations.add("hollow fronts answered no query");
         }
-        if (real != null) {
-            String[] asked = real.execute("asked").split(" ");
+        if (realProcess != null) {
+            String[] fields = realProcess.execute("asked").split(" ");
             String[] names = {"real_asked", "real_rows", "real_refused", "real_errors", "real_lost",
                 "real_wrong"};
-            IntStream.range(0, names.length).forEach(k -> figure(names[k], Double.parseDouble(asked[k])));
-            long[] count = Arrays.stream(asked).mapToLong(Long::parseLong).toArray();
+            IntStream.range(0, names.length).forEach(k -> figure(names[k], Double.parseDouble(fields[k])));
+            long[] counters = Arrays.stream(fields).mapToLong(Long::parseLong).toArray();
             // A client has at most one query open, and may lose it only when its front is killed.
-            long killed = kills.keySet().stream().filter(front -> front < size.real()).count();
-            long open = 2 * count[0] - Arrays.stream(count).sum();
-            if (count[1] == 0 || count[4] > ChildMain.CLIENTS_PER_FRONT * killed || count[5] > 0
-                    || open > (long) ChildMain.CLIENTS_PER_FRONT * size.real()) {
-                broken.add("real fronts: " + String.join(", ", names) + " are " + String.join(", ", asked));
+            long restarted = restartNanos.keySet().stream().filter(front -> front < size.realFronts()).count();
+            long openQueries = 2 * counters[0] - Arrays.stream(counters).sum();
+            if (counters[1] == 0 || counters[4] > ChildMain.CLIENTS_PER_FRONT * restarted || counters[5] > 0
+                    || openQueries > (long) ChildMain.CLIENTS_PER_FRONT * size.realFronts()) {
+                violations.add("real fronts: " + String.join(", ", names) + " are " + String.join(", ", fields));
             }
         }
-        double changes = journal.lastEventNumber() / seconds;
-        String run = Slopes.commit() + " bench/scale " + file.getFileName() + " --seed " + seed;
+        double changesPerSecond = journal.lastEventNumber() / seconds;
+        String run = Slopes.commit() + " bench/scale " + timetableFile.getFileName() + " --seed " + seed;
         List<Figures.Figure> rows = figures.entrySet().stream().map(f -> new Figures.Figure(run, f.getKey(),
-                unit(f.getKey()), size.fronts(), size.engines(), HOLLOW_QUERIES, 0, changes, 1, f.getValue()))
+                unit(f.getKey()), size.fronts(), size.engines(), HOLLOW_QUERIES_PER_SECOND, 0, changesPerSecond, 1, f.getValue()))
                 .toList();
-        String last = figures.entrySet().stream().filter(f -> f.getKey().endsWith("_last")
+        String keyFigures = figures.entrySet().stream().filter(f -> f.getKey().endsWith("_last")
                 || f.getKey().startsWith("hollow") || f.getKey().startsWith("real")
                 || f.getKey().endsWith("over_aim")).map(f -> f.getKey() + "="
                         + String.format(Locale.ROOT, "%.4g", f.getValue())).collect(Collectors.joining(" "));
-        return new Result(rows, "fronts=" + size.fronts() + " real=" + size.real() + " engines="
-                + size.engines() + " seed=" + seed + " broken=" + broken.size() + " " + last, broken);
+        return new Result(rows, "fronts=" + size.fronts() + " real=" + size.realFronts() + " engines="
+                + size.engines() + " seed=" + seed + " broken=" + violations.size() + " " + keyFigures, violations);
     }
 
     private static String unit(String name) {
@@ -729,16 +729,16 @@
 
     @Override
     public void close() throws IOException {
-        for (ChildProcess one : children) {
-            one.close();
+        for (ChildProcess process : processes) {
+            process.close();
         }
         journal.close();
-        asks.shutdown();
-        try (Stream<Path> files = Files.list(folder)) {
-            for (Path one : files.toList()) {
-                Files.delete(one);
+        reloadExecutor.shutdown();
+        try (Stream<Path> files = Files.list(directory)) {
+            for (Path process : files.toList()) {
+                Files.delete(process);
             }
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 }
--- a/src/rig/java/reedspring/rig/scale/Slopes.java
+++ b/src/rig/java/reedspring/rig/scale/Slopes.java
@@ -24,63 +24,63 @@
 public final class Slopes {
     public static final int MEMORY_MB = 256;
     public static final int FRONTS = 3_600;
-    public static final double ALL_QUERIES = 6_100_000;
-    private static final int[] ENGINES = {40, 160, 400, 1_000, 2_500};
-    private static final int HELD_ENGINES = 400;
-    private static final int[] KNOWN = {1, 12, 120, 3_600};
-    private static final int LARGEST = 25_000;
+    public static final double TOTAL_QUERIES_PER_SECOND = 6_100_000;
+    private static final int[] ENGINE_COUNTS = {40, 160, 400, 1_000, 2_500};
+    private static final int FIXED_ENGINES = 400;
+    private static final int[] FRONT_COUNTS = {1, 12, 120, 3_600};
+    private static final int LARGEST_ENGINES = 25_000;
     private static final int REPEATS = 3;
-    private static final long WARM_NANOS = 200_000_000;
-    private static final long ENOUGH_NANOS = 150_000_000;
-    private static final long CUT_S = 150;
-    private static final int CUT = 3;
-    private static final Pattern FLAGS = Pattern.compile("exec \\$e java (.*?) -XX:SharedArchiveFile");
+    private static final long WARM_UP_NANOS = 200_000_000;
+    private static final long MEASURE_NANOS = 150_000_000;
+    private static final long TIME_LIMIT_S = 150;
+    private static final int TIME_LIMIT_EXIT_STATUS = 3;
+    private static final Pattern JVM_FLAGS_PATTERN = Pattern.compile("exec \\$e java (.*?) -XX:SharedArchiveFile");
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
     private final String run;
     private final long seed;
-    private final boolean shortly;
+    private final boolean shortRun;
     private final Path file;
     private final List<Figure> figures = new ArrayList<>();
     /** A field, so that it can be cleared before the heap is measured. */
     private ControlDriver front;
-    private volatile String doing = "start";
+    private volatile String currentFigure = "start";
     private volatile int engines;
     private volatile int fronts = FRONTS;
     private volatile int repeat = 1;
-    private volatile long doingSince;
+    private volatile long currentFigureStartNanos;
 
-    private Slopes(String run, long seed, boolean shortly, Path file) {
+    private Slopes(String run, long seed, boolean shortRun, Path file) {
         this.run = run;
         this.seed = seed;
-        this.shortly = shortly;
+        this.shortRun = shortRun;
         this.file = file;
     }
 
     /** Runs all parts, or only {@code part} if it is not null; writes one file for each. */
-    public static List<Figure> measure(Path out, long seed, boolean shortly, String part)
+    public static List<Figure> measure(Path directory, long seed, boolean shortRun, String part)
             throws IOException, InterruptedException {
-        String run = commit() + " bench/scale --slopes --seed " + seed + (shortly ? " --short" : "");
+        String run = commit() + " bench/scale --slopes --seed " + seed + (shortRun ? " --short" : "");
         List<Figure> all = new ArrayList<>();
-        for (String one : List.of("known", "journal", "rates", "engines", "sockets", "large", "largest")) {
-            if (part != null ? !part.equals(one) : shortly && one.startsWith("large")) {
+        for (String partName : List.of("known", "journal", "rates", "engines", "sockets", "large", "largest")) {
+            if (part != null ? !part.equals(partName) : shortRun && partName.startsWith("large")) {
                 continue;
             }
-            Path file = out.resolve("slopes-" + one + ".csv");
+            Path file = directory.resolve("slopes-" + partName + ".csv");
             Files.deleteIfExists(file);
-            System.err.println("slopes: " + one);
+            System.err.println("slopes: " + partName);
             List<String> command = new ArrayList<>();
             command.add(ProcessHandle.current().info().command().orElse("java"));
             // The part sockets only holds clients and engines; its front is a process with its own sizes.
-            command.addAll(one.equals("sockets") ? List.of() : flags());
-            command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(), one,
-                    run, Long.toString(seed), Boolean.toString(shortly), file.toString()));
+            command.addAll(partName.equals("sockets") ? List.of() : jvmFlags());
+            command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(), partName,
+                    run, Long.toString(seed), Boolean.toString(shortRun), file.toString()));
             Process child = new ProcessBuilder(command).redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.INHERIT).start();
             try {
-                Rig.require(child.waitFor(2 * CUT_S, TimeUnit.SECONDS), one + " did not end in time");
-                Rig.require(child.exitValue() == 0 || child.exitValue() == CUT,
-                        one + " exited with status " + child.exitValue());
+                Rig.require(child.waitFor(2 * TIME_LIMIT_S, TimeUnit.SECONDS), partName + " did not end in time");
+                Rig.require(child.exitValue() == 0 || child.exitValue() == TIME_LIMIT_EXIT_STATUS,
+                        partName + " exited with status " + child.exitValue());
             } finally {
                 child.destroyForcibly();
             }
@@ -90,23 +90,23 @@
     }
 
     /** The JVM flags in the deployment's start command, memory sizes included, without the class archive. */
-    static List<String> flags() throws IOException, InterruptedException {
-        Matcher words = FLAGS.matcher(Files.readString(Path.of("deploy/balancer.toml")));
-        Rig.require(words.find(), "no JVM flags in the start command of deploy/balancer.toml");
+    static List<String> jvmFlags() throws IOException, InterruptedException {
+        Matcher matcher = JVM_FLAGS_PATTERN.matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        Rig.require(matcher.find(), "no JVM flags in the start command of deploy/balancer.toml");
         Process shell = new ProcessBuilder("/bin/sh", "-c",
-                "m=" + MEMORY_MB + "; echo " + words.group(1)).start();
-        String told = new String(shell.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-        Rig.require(shell.waitFor() == 0 && told.contains("-Xmx"), "no -Xmx in the JVM flags " + told);
-        return List.of(told.split(" +"));
+                "m=" + MEMORY_MB + "; echo " + matcher.group(1)).start();
+        String output = new String(shell.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+        Rig.require(shell.waitFor() == 0 && output.contains("-Xmx"), "no -Xmx in the JVM flags " + output);
+        return List.of(output.split(" +"));
     }
 
     /** The commit of this checkout, or {@code unknown} outside a repository. */
     static String commit() throws IOException {
         Process git = new ProcessBuilder("git", "rev-parse", "--short=7", "HEAD")
                 .redirectError(ProcessBuilder.Redirect.DISCARD).start();
-        String told = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+        String output = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
         // Its output is at its end, so its exit follows at once.
-        return git.onExit().join().exitValue() == 0 && !told.isEmpty() ? told : "unknown";
+        return git.onExit().join().exitValue() == 0 && !output.isEmpty() ? output : "unknown";
     }
 
     /**
@@ -115,82 +115,82 @@
      */
     public static void main(String[] args) throws Exception {
         if (args.length > 1 && args[0].equals("--out")) {
-            List<String> more = new ArrayList<>(List.of(args).subList(2, args.length));
-            int at = more.indexOf("--seed");
-            long seed = at < 0 ? 1 : Long.parseLong(more.get(at + 1));
-            if (at >= 0) {
-                more.subList(at, at + 2).clear();
+            List<String> arguments = new ArrayList<>(List.of(args).subList(2, args.length));
+            int seedIndex = arguments.indexOf("--seed");
+            long seed = seedIndex < 0 ? 1 : Long.parseLong(arguments.get(seedIndex + 1));
+            if (seedIndex >= 0) {
+                arguments.subList(seedIndex, seedIndex + 2).clear();
             }
-            boolean shortly = more.remove("--short");
-            List<Figure> all = measure(Path.of(args[1]), seed, shortly, more.isEmpty() ? null : more.get(0));
+            boolean shortRun = arguments.remove("--short");
+            List<Figure> all = measure(Path.of(args[1]), seed, shortRun, arguments.isEmpty() ? null : arguments.get(0));
             System.out.println("figures=" + all.size() + " charts="
                     + SlopeCharts.writeByEngines(all, Path.of(args[1])).size());
             return;
         }
         Slopes slopes = new Slopes(args[1], Long.parseLong(args[2]), Boolean.parseBoolean(args[3]),
                 Path.of(args[4]));
-        slopes.cutOff(Thread.currentThread().getId());
+        slopes.startWatchdog(Thread.currentThread().getId());
         switch (args[0]) {
-            case "engines" -> slopes.byEngines();
-            case "large" -> slopes.large();
-            case "largest" -> slopes.largest();
-            case "known" -> slopes.byFronts();
-            case "rates" -> slopes.byRate();
-            case "journal" -> slopes.journal();
-            case "sockets" -> slopes.sockets();
+            case "engines" -> slopes.measureByEngines();
+            case "large" -> slopes.measureLarge();
+            case "largest" -> slopes.measureLargest();
+            case "known" -> slopes.measureByFronts();
+            case "rates" -> slopes.measureByRate();
+            case "journal" -> slopes.measureJournal();
+            case "sockets" -> slopes.measureSockets();
             default -> throw new IllegalArgumentException(args[0]);
         }
         System.exit(0);
     }
 
     /** Ends the part at its time limit, and records the CPU time of the measurement that was running. */
-    private void cutOff(long thread) {
-        Thread watch = new Thread(() -> {
+    private void startWatchdog(long threadId) {
+        Thread watchdog = new Thread(() -> {
             try {
-                TimeUnit.SECONDS.sleep(CUT_S);
-                long took = THREADS.getThreadCpuTime(thread) - doingSince;
-                keep(doing + "_cut_off", "s", 0, 0, took / 1e9);
+                TimeUnit.SECONDS.sleep(TIME_LIMIT_S);
+                long cpuNanos = THREADS.getThreadCpuTime(threadId) - currentFigureStartNanos;
+                record(currentFigure + "_cut_off", "s", 0, 0, cpuNanos / 1e9);
             } catch (IOException | InterruptedException e) {
                 System.err.println("slopes: " + e);
             }
-            Runtime.getRuntime().halt(CUT);
+            Runtime.getRuntime().halt(TIME_LIMIT_EXIT_STATUS);
         });
-        watch.setDaemon(true);
-        watch.start();
+        watchdog.setDaemon(true);
+        watchdog.start();
     }
 
-    private synchronized void keep(String figure, String unit, double perSecond, int connections,
+    private synchronized void record(String figure, String unit, double queriesPerSecond, int connections,
             double value) throws IOException {
-        figures.add(new Figure(run, figure, unit, fronts, engines, Math.rint(perSecond), connections, 0,
+        figures.add(new Figure(run, figure, unit, fronts, engines, Math.rint(queriesPerSecond), connections, 0,
                 repeat, value));
         Figures.write(file, figures);
-        System.err.println("  " + figure + " " + engines + " engines, " + fronts + " fronts, " + perSecond
+        System.err.println("  " + figure + " " + engines + " engines, " + fronts + " fronts, " + queriesPerSecond
                 + "/s, " + connections + " connections: " + value + " " + unit);
     }
 
-    private static long cpu() {
+    private static long cpuNanos() {
         return THREADS.getCurrentThreadCpuTime();
     }
 
     /** Mean CPU time of a call in nanoseconds, after a warm-up, over at least {@link #ENOUGH_NANOS} or the most calls. */
-    private double each(String figure, int most, Runnable call) {
-        begin(figure);
-        long end = cpu() + WARM_NANOS;
-        for (int k = 0; k < most && (k == 0 || cpu() < end); k++) {
+    private double cpuNanosPerCall(String figure, int maxCalls, Runnable call) {
+        beginFigure(figure);
+        long warmUpEnd = cpuNanos() + WARM_UP_NANOS;
+        for (int k = 0; k < maxCalls && (k == 0 || cpuNanos() < warmUpEnd); k++) {
             call.run();
         }
-        long before = cpu();
+        long startNanos = cpuNanos();
         int calls = 0;
         do {
             call.run();
             calls++;
-        } while (calls < most && cpu() - before < ENOUGH_NANOS);
-        return (cpu() - before) / (double) calls;
+        } while (calls < maxCalls && cpuNanos() - startNanos < MEASURE_NANOS);
+        return (cpuNanos() - startNanos) / (double) calls;
     }
 
-    private void begin(String figure) {
-        doing = figure;
-        doingSince = cpu();
+    private void beginFigure(String figure) {
+        currentFigure = figure;
+        currentFigureStartNanos = cpuNanos();
     }
 
     private static double heapMb() {
@@ -200,26 +200,26 @@
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) / 1e6;
     }
 
-    private void list(String figure) throws IOException {
-        begin(figure);
-        long before = cpu();
+    private void measureFullList(String figure) throws IOException {
+        beginFigure(figure);
+        long startNanos = cpuNanos();
         front.deliverFullList();
-        keep(figure, "ms", 0, 0, (cpu() - before) / 1e6);
+        record(figure, "ms", 0, 0, (cpuNanos() - startNanos) / 1e6);
     }
 
-    private void events(int most) throws IOException {
-        keep("control_query", "us", 0, 0, each("control_query", most, front::runShortQuery) / 1e3);
-        keep("control_pulse", "us", 0, 0, each("control_pulse", most, front::firePulse) / 1e3);
-        keep("control_report", "us", 0, 0, each("control_report", most, front::deliverLoadReport) / 1e3);
-        keep("control_row", "us", 0, 0, each("control_row", most, front::deliverRowChange) / 1e3);
+    private void measureEvents(int maxCalls) throws IOException {
+        record("control_query", "us", 0, 0, cpuNanosPerCall("control_query", maxCalls, front::runShortQuery) / 1e3);
+        record("control_pulse", "us", 0, 0, cpuNanosPerCall("control_pulse", maxCalls, front::firePulse) / 1e3);
+        record("control_report", "us", 0, 0, cpuNanosPerCall("control_report", maxCalls, front::deliverLoadReport) / 1e3);
+        record("control_row", "us", 0, 0, cpuNanosPerCall("control_row", maxCalls, front::deliverRowChange) / 1e3);
     }
 
-    private int repeats() {
-        return shortly ? 1 : REPEATS;
+    private int repeatCount() {
+        return shortRun ? 1 : REPEATS;
     }
 
-    private void warm() {
-        ControlDriver front = new ControlDriver(seed, 12, 160, ALL_QUERIES);
+    private void warmUp() {
+        ControlDriver front = new ControlDriver(seed, 12, 160, TOTAL_QUERIES_PER_SECOND);
         for (int k = 0; k < 40; k++) {
             front.deliverFullList();
         }
@@ -231,143 +231,143 @@
         }
     }
 
-    private void one(int size, int known, int most) throws IOException {
-        engines = size;
-        fronts = known;
+    private void measureControl(int engineCount, int frontCount, int maxCalls) throws IOException {
+        engines = engineCount;
+        fronts = frontCount;
         front = null;
-        double before = heapMb();
-        front = new ControlDriver(seed + repeat, known, size, ALL_QUERIES);
-        list("control_list_first");
-        events(most);
+        double heapBefore = heapMb();
+        front = new ControlDriver(seed + repeat, frontCount, engineCount, TOTAL_QUERIES_PER_SECOND);
+        measureFullList("control_list_first");
+        measureEvents(maxCalls);
         // Includes what the front has recorded about engines and queries meanwhile.
-        keep("control_heap", "MB", 0, 0, heapMb() - before);
+        record("control_heap", "MB", 0, 0, heapMb() - heapBefore);
         Rig.require(front.submitCount() > 1, "no query was submitted");
         // Last, since it may exceed the time limit of the part.
-        list("control_list_again");
+        measureFullList("control_list_again");
     }
 
-    private void byEngines() throws IOException {
-        warm();
-        for (int size : ENGINES) {
-            for (repeat = 1; repeat <= repeats() && !(shortly && size > 1_000); repeat++) {
-                one(size, FRONTS, 20_000);
+    private void measureByEngines() throws IOException {
+        warmUp();
+        for (int size : ENGINE_COUNTS) {
+            for (repeat = 1; repeat <= repeatCount() && !(shortRun && size > 1_000); repeat++) {
+                measureControl(size, FRONTS, 20_000);
             }
         }
     }
 
     /** Measured once for each size. */
-    private void large() throws IOException {
-        warm();
-        one(5_000, FRONTS, 400);
-        one(10_000, FRONTS, 60);
+    private void measureLarge() throws IOException {
+        warmUp();
+        measureControl(5_000, FRONTS, 400);
+        measureControl(10_000, FRONTS, 60);
     }
 
     /** Apart from the others, since the first list alone may take the whole time limit. */
-    private void largest() throws IOException {
-        warm();
-        one(LARGEST, FRONTS, 20);
+    private void measureLargest() throws IOException {
+        warmUp();
+        measureControl(LARGEST_ENGINES, FRONTS, 20);
     }
 
-    private void byFronts() throws IOException {
-        warm();
-        for (int known : KNOWN) {
-            for (repeat = 1; repeat <= repeats(); repeat++) {
-                one(HELD_ENGINES, known, 20_000);
+    private void measureByFronts() throws IOException {
+        warmUp();
+        for (int frontCount : FRONT_COUNTS) {
+            for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                measureControl(FIXED_ENGINES, frontCount, 20_000);
             }
         }
     }
 
     /** By query rate, each query open for 50 ms; few fronts, so that the front's quota is not reached. */
-    private void byRate() throws IOException {
-        warm();
-        engines = HELD_ENGINES;
+    private void measureByRate() throws IOException {
+        warmUp();
+        engines = FIXED_ENGINES;
         fronts = 4;
         for (double rate : new double[] {20, 200, 1_694, 6_800}) {
-            for (repeat = 1; repeat <= repeats(); repeat++) {
-                ControlDriver front = new ControlDriver(seed + repeat, fronts, engines, ALL_QUERIES);
+            for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                ControlDriver front = new ControlDriver(seed + repeat, fronts, engines, TOTAL_QUERIES_PER_SECOND);
                 front.deliverFullList();
                 for (int k = 0; k < rate; k++) {
                     front.runQueryAtRate(rate);
                 }
-                double each = each("control_query", 20_000, () -> front.runQueryAtRate(rate)) / 1e3;
+                double nanosPerQuery = cpuNanosPerCall("control_query", 20_000, () -> front.runQueryAtRate(rate)) / 1e3;
                 Rig.require(front.openQueryCount() >= rate / 20 - 1, front.openQueryCount() + " queries open at a rate of " + rate);
-                keep("control_query", "us", rate, 0, each);
-                keep("control_pulse", "us", rate, 0, each("control_pulse", 20_000, front::firePulse) / 1e3);
+                record("control_query", "us", rate, 0, nanosPerQuery);
+                record("control_pulse", "us", rate, 0, cpuNanosPerCall("control_pulse", 20_000, front::firePulse) / 1e3);
             }
         }
     }
 
-    private void journal() throws Exception {
+    private void measureJournal() throws Exception {
         JournalReading reading = new JournalReading();
-        int most = JournalReading.most();
+        int maxEventBytes = JournalReading.most();
         fronts = 0;
         engines = 0;
-        keep("journal_event_bound", "B", 0, 0, most);
+        record("journal_event_bound", "B", 0, 0, maxEventBytes);
         for (int sockets : new int[] {1_024, 4_096, 16_384}) {
-            for (String what : List.of("clients", "engines", "queries")) {
-                keep("front_holds_" + what, "count of " + sockets + " descriptors", 0, 0,
-                        JournalReading.holds(sockets, MEMORY_MB).get(what));
+            for (String resource : List.of("clients", "engines", "queries")) {
+                record("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0,
+                        JournalReading.holds(sockets, MEMORY_MB).get(resource));
             }
         }
-        byte[] small = ControlDriver.fullListEvent(ENGINES[2]);
+        byte[] smallEvent = ControlDriver.fullListEvent(ENGINE_COUNTS[2]);
         for (int k = 0; k < 300; k++) {
-            reading.read(small, Integer.MAX_VALUE);
+            reading.read(smallEvent, Integer.MAX_VALUE);
         }
-        for (int size : new int[] {40, 400, 2_500, 6_000, 12_500, LARGEST}) {
+        for (int size : new int[] {40, 400, 2_500, 6_000, 12_500, LARGEST_ENGINES}) {
             engines = size;
             byte[] event = ControlDriver.fullListEvent(size);
-            for (repeat = 1; repeat <= repeats(); repeat++) {
-                begin("journal_event_cpu");
-                keep("journal_event", "B", 0, 0, event.length);
-                keep("journal_event_taken", "rows", 0, 0, Math.max(0, reading.read(event, most)));
-                long allocated = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
+            for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                beginFigure("journal_event_cpu");
+                record("journal_event", "B", 0, 0, event.length);
+                record("journal_event_taken", "rows", 0, 0, Math.max(0, reading.read(event, maxEventBytes)));
+                long allocatedBefore = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
                 Rig.require(reading.read(event, Integer.MAX_VALUE) == size, "not all rows of the event were read");
-                keep("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
-                        Thread.currentThread().getId()) - allocated) / 1e6);
-                double with = heapMb();
+                record("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
+                        Thread.currentThread().getId()) - allocatedBefore) / 1e6);
+                double heapWithEvent = heapMb();
                 reading.forget();
-                keep("journal_event_heap", "MB", 0, 0, with - heapMb());
-                keep("journal_event_cpu", "ms", 0, 0, each("journal_event_cpu", 2_000,
+                record("journal_event_heap", "MB", 0, 0, heapWithEvent - heapMb());
+                record("journal_event_cpu", "ms", 0, 0, cpuNanosPerCall("journal_event_cpu", 2_000,
                         () -> reading.read(event, Integer.MAX_VALUE)) / 1e6);
-                reading.read(small, Integer.MAX_VALUE);
+                reading.read(smallEvent, Integer.MAX_VALUE);
             }
         }
     }
 
-    private void sockets() throws Exception {
+    private void measureSockets() throws Exception {
         engines = MeasuredFront.ENGINES;
         fronts = 1;
         try (MeasuredFront front = new MeasuredFront()) {
-            begin("front_idle");
+            beginFigure("front_idle");
             // Lets the JIT compile the startup code before the measurement.
             front.measureIdle(5_000);
-            int[] sizes = shortly ? new int[] {0, 100} : new int[] {0, 500, 1_000, 2_000, 4_000};
+            int[] sizes = shortRun ? new int[] {0, 100} : new int[] {0, 500, 1_000, 2_000, 4_000};
             for (int connections : sizes) {
                 front.connect(connections);
-                for (repeat = 1; repeat <= repeats(); repeat++) {
-                    MeasuredFront.Usage used = front.measureIdle(1_500);
-                    keep("front_idle_cpu", "core", 0, connections, used.cores());
-                    keep("front_idle_memory", "MB", 0, connections, used.memoryMb());
+                for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                    MeasuredFront.Usage usage = front.measureIdle(1_500);
+                    record("front_idle_cpu", "core", 0, connections, usage.cores());
+                    record("front_idle_memory", "MB", 0, connections, usage.memoryMb());
                 }
             }
         }
         try (MeasuredFront front = new MeasuredFront()) {
-            begin("front_busy");
+            beginFigure("front_busy");
             front.connect(64);
             front.measureServing(400, 6_000);
-            for (int rate : shortly ? new int[] {100, 400} : new int[] {100, 200, 400, 800}) {
-                for (repeat = 1; repeat <= repeats(); repeat++) {
-                    MeasuredFront.Usage used = front.measureServing(rate, 2_000);
-                    keep("front_busy_cpu", "core", used.queriesPerSecond(), 64, used.cores());
-                    keep("front_busy_memory", "MB", used.queriesPerSecond(), 64, used.memoryMb());
+            for (int rate : shortRun ? new int[] {100, 400} : new int[] {100, 200, 400, 800}) {
+                for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                    MeasuredFront.Usage usage = front.measureServing(rate, 2_000);
+                    record("front_busy_cpu", "core", usage.queriesPerSecond(), 64, usage.cores());
+                    record("front_busy_memory", "MB", usage.queriesPerSecond(), 64, usage.memoryMb());
                 }
             }
-            for (int connections : shortly ? new int[] {64} : new int[] {64, 256, 1_000, 2_000}) {
+            for (int connections : shortRun ? new int[] {64} : new int[] {64, 256, 1_000, 2_000}) {
                 front.connect(connections);
                 front.measureServing(200, 500);
-                for (repeat = 1; repeat <= repeats(); repeat++) {
-                    MeasuredFront.Usage used = front.measureServing(200, 2_000);
-                    keep("front_by_connections_cpu", "core", used.queriesPerSecond(), connections, used.cores());
+                for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                    MeasuredFront.Usage usage = front.measureServing(200, 2_000);
+                    record("front_by_connections_cpu", "core", usage.queriesPerSecond(), connections, usage.cores());
                 }
             }
         }
--- a/src/test/java/reedspring/rig/scale/FitTest.java
+++ b/src/test/java/reedspring/rig/scale/FitTest.java
@@ -16,25 +16,25 @@
 
     /** A power law is recovered from exact points; with scattered points the residual is at most the scatter. */
     @Property(seed = "36", tries = 200)
-    void aLawIsFoundAgainThroughItsScatter(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        double scale = Math.exp(chance.nextDouble(-5, 5));
-        double power = chance.nextDouble(-1, 2.5);
+    void aPowerLawIsRecoveredFromScatteredPoints(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        double scale = Math.exp(random.nextDouble(-5, 5));
+        double power = random.nextDouble(-1, 2.5);
         double[] exact = Arrays.stream(SIZES).map(x -> scale * Math.pow(x, power)).toArray();
         Fit fit = Fit.powerLaw(SIZES, exact);
         assertEquals(power, fit.slope(), 1e-9);
         assertEquals(1, fit.residual(), 1e-6);
         assertEquals(scale * Math.pow(25_000, power), fit.valueAt(25_000), 1e-6 * fit.valueAt(25_000));
-        double[] off = exact.clone();
-        for (int k = 0; k < off.length; k++) {
-            off[k] *= chance.nextBoolean() ? 1.1 : 1 / 1.1;
+        double[] scattered = exact.clone();
+        for (int k = 0; k < scattered.length; k++) {
+            scattered[k] *= random.nextBoolean() ? 1.1 : 1 / 1.1;
         }
-        double residual = Fit.powerLaw(SIZES, off).residual();
+        double residual = Fit.powerLaw(SIZES, scattered).residual();
         assertTrue(residual <= 1.1 + 1e-9, "least squares miss by no more than the law: " + residual);
     }
 
     @Example
-    void aLineIsFoundAgain() {
+    void aLineIsRecovered() {
         Fit fit = Fit.line(new double[] {0, 1, 2, 3}, new double[] {5, 7, 9, 11});
         assertEquals(5, fit.base(), 1e-9);
         assertEquals(2, fit.slope(), 1e-9);
@@ -45,7 +45,7 @@
     }
 
     @Example
-    void whereNoLawCanBeThereIsAnError() {
+    void inputsWithoutAFitAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> Fit.powerLaw(SIZES, new double[] {1, 2, 0, 3, 4}));
         assertThrows(IllegalArgumentException.class,
                 () -> Fit.line(new double[] {3, 3}, new double[] {1, 2}));
@@ -54,7 +54,7 @@
     }
 
     @Example
-    void repeatsHaveALeastAMiddleAndAGreatest() {
+    void summariesHaveMinMedianAndMax() {
         assertEquals(new Summary(1, 2, 9, 3), Summary.of(9, 1, 2));
         assertEquals(new Summary(1, 2, 9, 4), Summary.of(9, 1, 2, 3));
         assertEquals(new Summary(4, 4, 4, 1), Summary.of(4));
--- a/src/test/java/reedspring/rig/scale/JournalServiceTest.java
+++ b/src/test/java/reedspring/rig/scale/JournalServiceTest.java
@@ -17,32 +17,32 @@
 import reedspring.rig.Rig;
 
 class JournalServiceTest {
-    private static final int LISTED = 25_000;
+    private static final int ENGINES = 25_000;
     private static final int CHANGES = 300;
 
     /** One connection with a small receive buffer, so that unread data stays with the service. */
-    private static final class Caller implements AutoCloseable {
+    private static final class TestWatcher implements AutoCloseable {
         private final Socket socket = new Socket();
         private final BufferedReader in;
-        private long read;
+        private long readChars;
 
-        private Caller(String address, int from) throws IOException {
+        private TestWatcher(String address, int lastEventId) throws IOException {
             socket.setReceiveBufferSize(8_192);
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(),
                     Integer.parseInt(address.substring(address.indexOf(':') + 1))));
             socket.setSoTimeout((int) Rig.PATIENCE_S * 1000);
-            socket.getOutputStream().write(("GET /journal HTTP/1.1\r\nHost: x\r\nLast-Event-ID: " + from
+            socket.getOutputStream().write(("GET /journal HTTP/1.1\r\nHost: x\r\nLast-Event-ID: " + lastEventId
                     + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                     StandardCharsets.US_ASCII), 4_096);
         }
 
         /** Number and data of the next event. */
-        private String[] event() throws IOException {
+        private String[] nextEvent() throws IOException {
             String id = "";
             for (String line = in.readLine(); ; line = in.readLine()) {
                 assertTrue(line != null, "the stream goes on");
-                read += line.length();
+                readChars += line.length();
                 if (line.startsWith("id: ")) {
                     id = line.substring(4);
                 } else if (line.startsWith("data: ")) {
@@ -54,12 +54,12 @@
         /** Reads up to the event with that number; requires that no change is skipped, and returns the event count. */
         private int readTo(int number) throws IOException {
             int events = 0;
-            for (int at = -1; at < number; events++) {
-                String[] event = event();
-                boolean whole = event[1].contains("\"whole\":true");
-                int next = Integer.parseInt(event[0]);
-                assertTrue(whole && next > at || next == at + 1, "event " + next + " after " + at);
-                at = next;
+            for (int lastNumber = -1; lastNumber < number; events++) {
+                String[] event = nextEvent();
+                boolean complete = event[1].contains("\"whole\":true");
+                int eventNumber = Integer.parseInt(event[0]);
+                assertTrue(complete && eventNumber > lastNumber || eventNumber == lastNumber + 1, "event " + eventNumber + " after " + lastNumber);
+                lastNumber = eventNumber;
             }
             return events;
         }
@@ -75,23 +75,23 @@
     }
 
     @Example
-    void aWatcherThatReadsSlowlyWhileAListOfFourMegabytesComesHoldsUpNobodyAndMissesNothing()
+    void aSlowReaderOfAFourMegabyteListDelaysNobodyAndMissesNothing()
             throws Exception {
         try (JournalService service = new JournalService(1 << 28)) {
-            service.publish(IntStream.range(0, LISTED).mapToObj(k -> row(k, "ready")).toList());
-            String slow = service.addWatcher().get(0);
-            String fast = service.addWatcher().get(1);
-            try (Caller slowly = new Caller(slow, 0); Caller fastly = new Caller(fast, 0)) {
+            service.publish(IntStream.range(0, ENGINES).mapToObj(k -> row(k, "ready")).toList());
+            String slowAddress = service.addWatcher().get(0);
+            String fastAddress = service.addWatcher().get(1);
+            try (TestWatcher slowReader = new TestWatcher(slowAddress, 0); TestWatcher fastReader = new TestWatcher(fastAddress, 0)) {
                 Rig.await("the slow watcher's call", () -> !service.requestsSince(0, 0).isEmpty());
                 for (int k = 0; k < CHANGES; k++) {
                     service.publish(List.of(row(k, "draining")));
                 }
-                int events = fastly.readTo(CHANGES + 1);
-                assertTrue(fastly.read > 3 << 20, "a whole list of " + fastly.read);
+                int events = fastReader.readTo(CHANGES + 1);
+                assertTrue(fastReader.readChars > 3 << 20, "a whole list of " + fastReader.readChars);
                 // The fast watcher got the changes one by one; the slow one has read nothing yet.
                 assertTrue(events >= 1 && service.upToDateWatchers().equals(Set.of(1)), "in step: " + service.upToDateWatchers());
                 assertEquals(1, service.counts()[0][0], "one event waits for the slow one");
-                slowly.readTo(CHANGES + 1);
+                slowReader.readTo(CHANGES + 1);
                 Rig.await("both in step", () -> service.upToDateWatchers().equals(Set.of(0, 1)));
             }
             assertEquals(null, service.fault());
@@ -99,19 +99,19 @@
     }
 
     @Example
-    void whoCallsAgainGetsWhatItHasMissedAndWhoIsCutGetsNothingUntilItIsOver() throws Exception {
+    void aReconnectResumesAtItsPositionAndACutLinkCarriesNothing() throws Exception {
         try (JournalService service = new JournalService(1 << 28)) {
             service.publish(List.of(row(0, "ready"), row(1, "ready")));
             service.publish(List.of(row(1, "draining")));
             String address = service.addWatcher().get(0);
-            try (Caller first = new Caller(address, 1)) {
-                assertEquals("2", first.event()[0]);
+            try (TestWatcher first = new TestWatcher(address, 1)) {
+                assertEquals("2", first.nextEvent()[0]);
                 service.setLinkDown(Set.of(0), true);
                 service.publish(List.of(row(1, "gone")));
                 Thread.sleep(100);
                 assertEquals(Set.of(), service.upToDateWatchers());
                 service.setLinkDown(Set.of(0), false);
-                assertEquals("3", first.event()[0]);
+                assertEquals("3", first.nextEvent()[0]);
                 service.setUnavailable(true);
                 Rig.await("the reset", () -> {
                     try {
@@ -122,11 +122,11 @@
                 });
             }
             service.setUnavailable(false);
-            try (Caller again = new Caller(address, 3); Caller anew = new Caller(address, 0)) {
+            try (TestWatcher resumed = new TestWatcher(address, 3); TestWatcher fromStart = new TestWatcher(address, 0)) {
                 service.publish(List.of(row(2, "ready")));
-                assertEquals("4", again.event()[0]);
-                String[] whole = anew.event();
-                assertTrue(whole[1].contains("\"whole\":true") && !whole[1].contains("s-1\""), whole[1]);
+                assertEquals("4", resumed.nextEvent()[0]);
+                String[] fullList = fromStart.nextEvent();
+                assertTrue(fullList[1].contains("\"whole\":true") && !fullList[1].contains("s-1\""), fullList[1]);
             }
         }
     }
--- a/src/test/java/reedspring/rig/scale/PageTest.java
+++ b/src/test/java/reedspring/rig/scale/PageTest.java
@@ -15,15 +15,15 @@
 class PageTest {
     /** The page has to be generated from the committed result files, with bench/scale --page. */
     @Example
-    void thePagesTablesAreWhatTheKeptFiguresMake() throws IOException {
+    void theCommittedTablesMatchTheKeptFigures() throws IOException {
         assertEquals(Page.tables(Figures.readAll(Page.RESULTS)),
-                Page.kept(Files.readString(Path.of("docs/CAPACITY.md"))));
+                Page.publishedTables(Files.readString(Path.of("docs/CAPACITY.md"))));
     }
 
     /** Quadratic cost of lists, linear cost of all else, at two sizes: extrapolated by 2.5 from 10,000 engines. */
     @Example
-    void figuresAreCarriedOnByTheirLaw() {
-        String tables = Page.tables(made());
+    void figuresAreExtrapolatedByThePowerLaw() {
+        String tables = Page.tables(sampleFigures());
         // 0.01 us for each engine: 250 us at 25,000, 1,694.4 times a second
         assertTrue(tables.contains("| front | decisions on queries | 1,694/s x 250 us | 0.424 core | 0.043 |"
                 + " 9.85 | 2.5 times past 10,000 engines, by x^1.00 |"), tables);
@@ -34,35 +34,35 @@
     }
 
     @Example
-    void whatDoesNotFitIsToldWorstFirstAndWhatFitsIsNot() {
-        String all = Page.tables(made());
-        String unfit = all.substring(all.indexOf("### What does not fit"), all.indexOf("### Runs"));
-        List<Double> ratios = unfit.lines().filter(line -> line.startsWith("| ") && line.contains(" x ")
+    void onlyNeedsOverBudgetAreListedWorstFirst() {
+        String all = Page.tables(sampleFigures());
+        String overBudget = all.substring(all.indexOf("### What does not fit"), all.indexOf("### Runs"));
+        List<Double> ratios = overBudget.lines().filter(line -> line.startsWith("| ") && line.contains(" x ")
                 || line.matches("\\| (front|journal|configuration).*"))
                 .map(line -> line.split("\\|")[5].trim().replace(",", "")).map(Double::valueOf).toList();
-        assertTrue(ratios.size() >= 3 && ratios.stream().allMatch(r -> r > 1), unfit);
+        assertTrue(ratios.size() >= 3 && ratios.stream().allMatch(r -> r > 1), overBudget);
         assertEquals(ratios.stream().sorted((a, b) -> Double.compare(b, a)).toList(), ratios);
-        assertTrue(!unfit.contains("reading the files"), unfit);
+        assertTrue(!overBudget.contains("reading the files"), overBudget);
         assertTrue(all.lines().noneMatch(line -> line.matches(".*[|x] -\\d.*")), "a need below 0: " + all);
     }
 
     @Example
     void aFigureThatIsMissingIsNamed() {
-        List<Figure> figures = made();
+        List<Figure> figures = sampleFigures();
         figures.removeIf(f -> f.figure().equals("control_report"));
         assertTrue(assertThrows(IllegalArgumentException.class, () -> Page.tables(figures)).getMessage()
                 .contains("control_report"));
-        assertThrows(IllegalArgumentException.class, () -> Page.kept("# A page with no place\n"));
+        assertThrows(IllegalArgumentException.class, () -> Page.publishedTables("# A page with no place\n"));
     }
 
     @Example
-    void figuresAreToldByThreeDigits() {
+    void numbersHaveThreeSignificantDigits() {
         assertEquals(List.of("0", "9.85", "1,694", "0.0625", "25,000", "7", "1.23e-07"),
-                List.of(Page.plain(0), Page.plain(9.8512), Page.plain(1694.44), Page.plain(0.0625),
-                        Page.plain(25_000), Page.plain(7), Page.plain(1.234e-7)));
+                List.of(Page.formatNumber(0), Page.formatNumber(9.8512), Page.formatNumber(1694.44), Page.formatNumber(0.0625),
+                        Page.formatNumber(25_000), Page.formatNumber(7), Page.formatNumber(1.234e-7)));
     }
 
-    private static List<Figure> made() {
+    private static List<Figure> sampleFigures() {
         List<Figure> figures = new ArrayList<>();
         for (int engines : new int[] {1_000, 10_000}) {
             for (String linear : List.of("control_query", "control_pulse", "control_report", "control_row")) {
@@ -83,8 +83,8 @@
         }
         figures.add(figure("journal_event_bound", "B", 0, 0, 0, 0, 1 << 20));
         for (int sockets : new int[] {1_024, 4_096}) {
-            for (String what : List.of("clients", "engines")) {
-                figures.add(figure("front_holds_" + what, "count of " + sockets + " descriptors", 0, 0, 0, 0,
+            for (String resource : List.of("clients", "engines")) {
+                figures.add(figure("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0, 0, 0,
                         sockets / 2));
             }
         }
--- a/src/test/java/reedspring/rig/scale/ScaleIT.java
+++ b/src/test/java/reedspring/rig/scale/ScaleIT.java
@@ -17,14 +17,14 @@
 
 /** A small scale run. It checks rules and counts, never times, which a busy machine may miss. */
 class ScaleIT {
-    private static final Path TABLE = Path.of("bench/timetables/scale-ci.ini");
+    private static final Path TIMETABLE = Path.of("bench/timetables/scale-ci.ini");
 
     @Example
-    void aFewOfEachKindKeepTheRules() throws Exception {
-        try (ScaleRun run = new ScaleRun(Timetable.read(TABLE), TABLE, new Scale.Size(24, 20, 2), 1, false)) {
+    void aSmallRunViolatesNoRule() throws Exception {
+        try (ScaleRun run = new ScaleRun(Timetable.read(TIMETABLE), TIMETABLE, new Scale.Size(24, 20, 2), 1, false)) {
             ScaleRun.Result result = run.play();
-            System.out.println(result.line());
-            assertEquals(List.of(), result.broken());
+            System.out.println(result.summary());
+            assertEquals(List.of(), result.violations());
             double[] served = result.figures().stream().filter(f -> f.figure().equals("hollow_served")
                     || f.figure().equals("hollow_asked")).mapToDouble(Figures.Figure::value).toArray();
             assertTrue(served[0] > 300 && served[1] >= 0.9 * served[0], "served " + served[1] + " of "
@@ -32,15 +32,15 @@
         }
     }
 
-    private static Process main(Path out, Path errors) throws IOException {
+    private static Process startMain(Path directory, Path errors) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         return new ProcessBuilder(java, "-Xmx256m", "-cp",
                 System.getProperty("java.class.path"), Scale.class.getName(),
-                "--timetable", TABLE.toString(), "--real", "2", "--out", out.toString())
+                "--timetable", TIMETABLE.toString(), "--real", "2", "--out", directory.toString())
                 .redirectError(errors.toFile()).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
     }
 
-    private static String text(Path file) {
+    private static String readText(Path file) {
         try {
             return Files.readString(file, StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -48,47 +48,47 @@
         }
     }
 
-    private static void nothingIsLeft(List<ProcessHandle> children, Path out) throws Exception {
+    private static void assertNothingIsLeft(List<ProcessHandle> children, Path directory) throws Exception {
         assertTrue(children.size() >= 5, "hosts and two fronts: " + children.size());
         Rig.await("the end of all its processes", () -> children.stream().noneMatch(ProcessHandle::isAlive));
-        try (Stream<Path> left = Files.list(out)) {
-            assertEquals(List.of(), left.toList());
+        try (Stream<Path> remaining = Files.list(directory)) {
+            assertEquals(List.of(), remaining.toList());
         }
     }
 
     /** Killed with SIGKILL, which the main process can't handle. */
     @Example
-    void aRunThatIsKilledHalfwayLeavesNoProcessAndNoResults() throws Exception {
-        Path out = Files.createTempDirectory("scale");
+    void aKilledRunLeavesNoProcessAndNoResults() throws Exception {
+        Path directory = Files.createTempDirectory("scale");
         Path errors = Files.createTempFile("scale", ".log");
-        Process main = main(out, errors);
-        Rig.await("the run", () -> text(errors).contains("all follow") || !main.isAlive());
-        assertTrue(main.isAlive(), text(errors));
+        Process main = startMain(directory, errors);
+        Rig.await("the run", () -> readText(errors).contains("all follow") || !main.isAlive());
+        assertTrue(main.isAlive(), readText(errors));
         List<ProcessHandle> children = main.descendants().toList();
         main.destroyForcibly();
-        nothingIsLeft(children, out);
+        assertNothingIsLeft(children, directory);
     }
 
     @Example
-    void descriptorsThatRunOutHalfwayAreToldAndEndTheRun() throws Exception {
-        Path out = Files.createTempDirectory("scale");
+    void exhaustedDescriptorsEndTheRunWithAnError() throws Exception {
+        Path directory = Files.createTempDirectory("scale");
         Path errors = Files.createTempFile("scale", ".log");
-        Process main = main(out, errors);
-        Rig.await("the run", () -> text(errors).contains("all follow") || !main.isAlive());
-        assertTrue(main.isAlive(), text(errors));
+        Process main = startMain(directory, errors);
+        Rig.await("the run", () -> readText(errors).contains("all follow") || !main.isAlive());
+        assertTrue(main.isAlive(), readText(errors));
         List<ProcessHandle> children = main.descendants().toList();
         assertEquals(0, new ProcessBuilder("prlimit", "--pid", Long.toString(main.pid()), "--nofile=64:")
                 .start().waitFor());
-        assertTrue(main.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS), text(errors));
+        assertTrue(main.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS), readText(errors));
         assertNotEquals(0, main.exitValue());
-        assertTrue(text(errors).contains("Too many open files"), text(errors));
-        nothingIsLeft(children, out);
+        assertTrue(readText(errors).contains("Too many open files"), readText(errors));
+        assertNothingIsLeft(children, directory);
     }
 
     @Example
-    void aMachineThatIsTooSmallIsToldSoBeforeAnythingStarts() {
-        assertTrue(new Scale.Size(1_000_000, 100, 8).lacks().matches("[0-9]+ descriptors are needed .*"));
-        assertTrue(new Scale.Size(3_600, 25_000, 8).lacks().matches("[0-9]+ MB are needed .*"));
-        assertEquals(null, new Scale.Size(24, 20, 2).lacks());
+    void aMachineThatIsTooSmallIsReported() {
+        assertTrue(new Scale.Size(1_000_000, 100, 8).lackingResource().matches("[0-9]+ descriptors are needed .*"));
+        assertTrue(new Scale.Size(3_600, 25_000, 8).lackingResource().matches("[0-9]+ MB are needed .*"));
+        assertEquals(null, new Scale.Size(24, 20, 2).lackingResource());
     }
 }
--- a/src/test/java/reedspring/rig/scale/SlopeChartsTest.java
+++ b/src/test/java/reedspring/rig/scale/SlopeChartsTest.java
@@ -12,7 +12,7 @@
 
 class SlopeChartsTest {
     @Example
-    void eachUnitWithTwoSizesIsDrawn() throws IOException {
+    void aUnitWithTwoSizesIsDrawn() throws IOException {
         Path out = Files.createTempDirectory("charts");
         List<Path> files = SlopeCharts.writeByEngines(List.of(new Figure("r", "query", "us", 3_600, 40, 0, 0, 0, 1, 15),
                 new Figure("r", "query", "us", 3_600, 400, 0, 0, 0, 1, 98),
