--- a/src/rig/java/reedspring/rig/scale/ChildMain.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -49,10 +49,10 @@
 import reedspring.rig.fleet.Timetable;
 
 /**
- * Main class of a child process of the scale run, which holds many hollow fronts, many stand-in engines, or the
- * real fronts with their clients. It executes one command per line of standard input and replies with one line
- * each. At the end of its standard input it exits and stops all that it has started, so that no process
- * outlives a main process that is killed.
+ * Main class of a child process of the scale run, which holds many {@link HollowFront}s, many stand-in
+ * engines, or the real fronts with their clients. It executes one command per line of standard input and
+ * replies with one line each. At the end of its standard input it exits and stops all that it has started, so
+ * that no process outlives a main process that is killed.
  */
 final class ChildMain {
     /** Clients of each real front; each has at most one query open. */
@@ -141,7 +141,8 @@
                     return "";
                 }
                 case "reload" -> {
-                    fronts.forEach((k, front) -> front.reload(configurationFile(directory, k, words[1]), reloadExecutor));
+                    fronts.forEach((k, front) -> front.reload(configurationFile(directory, k, words[1]),
+                            reloadExecutor));
                     return "";
                 }
                 case "kill" -> {
@@ -170,7 +171,8 @@
                     return formatPairs(fronts, front -> front.logged(text));
                 }
                 case "queries" -> {
-                    return formatPairs(fronts, front -> Arrays.stream(front.queries()).mapToObj(Long::toString)
+                    return formatPairs(fronts, front -> Arrays.stream(front.queries())
+                            .mapToObj(Long::toString)
                             .collect(Collectors.joining("/")));
                 }
                 case "cost" -> {
@@ -189,7 +191,8 @@
                 return new HollowFront.Draw(Terms.GROUPS[group], timetable.mix().workMs(group, random),
                         timetable.mix().needMb(group, random), Terms.leavesMs(timetable, group));
             };
-            fronts.put(front, new HollowFront(loops.get(front % loops.size()), configurationFile(directory, front, "a"), queriesPerSecond,
+            fronts.put(front, new HollowFront(loops.get(front % loops.size()),
+                    configurationFile(directory, front, "a"), queriesPerSecond,
                     queryGenerator));
         }
 
@@ -222,7 +225,8 @@
                 return "";
             } else if (words[0].equals("sent")) {
                 int engine = Integer.parseInt(words[1]);
-                return group.submit(() -> formatPairs(lastQueryNanos.getOrDefault(engine, Map.of()), nanos -> nanos)).get();
+                return group.submit(() -> formatPairs(lastQueryNanos.getOrDefault(engine, Map.of()), nanos ->
+                        nanos)).get();
             }
             return Long.toString(answeredQueries.get());
         }
@@ -378,13 +382,15 @@
                 }
                 case "logged" -> {
                     String text = words[1].replace('_', ' ');
-                    return formatPairs(fronts, front -> front.log.stream().filter(l -> l.contains(text)).count());
+                    return formatPairs(fronts, front -> front.log.stream().filter(l -> l.contains(text))
+                            .count());
                 }
                 case "alive" -> {
                     return formatPairs(fronts, front -> front.process.isAlive());
                 }
                 default -> {
-                    return sentRequests + " " + rowAnswers + " " + refusals + " " + errorAnswers + " " + lostAnswers + " " + wrongAnswers;
+                    return sentRequests + " " + rowAnswers + " " + refusals + " " + errorAnswers + " "
+                            + lostAnswers + " " + wrongAnswers;
                 }
             }
         }
@@ -400,7 +406,8 @@
             boolean requestOpen = false;
             while (clientsRunning) {
                 try {
-                    Thread.sleep((long) (-Math.log(1 - random.nextDouble()) * 1_000 * CLIENTS_PER_FRONT / queriesPerSecond));
+                    Thread.sleep((long) (-Math.log(1 - random.nextDouble()) * 1_000 * CLIENTS_PER_FRONT
+                            / queriesPerSecond));
                     Program program = fronts.get(front);
                     if (program == null) {
                         continue;
@@ -423,7 +430,8 @@
                             List.of(fields, statement.getBytes(StandardCharsets.US_ASCII))))).read();
                     String text = Client.rows(answer);
                     (text == null ? "Shed".equals(Client.error(answer)) ? refusals : errorAnswers
-                            : text.equals(trace + "\te\trow\n") ? rowAnswers : wrongAnswers).incrementAndGet();
+                            : text.equals(trace + "\te\trow\n") ? rowAnswers : wrongAnswers)
+                            .incrementAndGet();
                     requestOpen = false;
                 } catch (IOException e) {
                     lostAnswers.addAndGet(requestOpen ? 1 : 0);
--- a/src/rig/java/reedspring/rig/scale/ChildProcess.java
+++ b/src/rig/java/reedspring/rig/scale/ChildProcess.java
@@ -13,9 +13,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Runs a {@link ChildMain} in a child JVM. A command is one line to its standard input; its reply is one line. */
+/**
+ * Runs a {@link ChildMain} in a child JVM. A command is one line to its standard input; its reply is one
+ * line.
+ */
 final class ChildProcess implements Closeable {
-    final Process process;
+    final Process osProcess;
     private final String role;
     private final Writer commands;
     private final BufferedReader replies;
@@ -26,9 +29,10 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx" + heapMb + "m",
                 "-XX:+UseSerialGC", "-Dtinylog.level=off", "-Dio.netty.leakDetection.level=disabled", "-cp",
                 System.getProperty("java.class.path"), ChildMain.class.getName(), role));
-        process = new ProcessBuilder(commandLine).redirectError(log.toFile()).start();
-        commands = new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8);
-        replies = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        osProcess = new ProcessBuilder(commandLine).redirectError(log.toFile()).start();
+        commands = new OutputStreamWriter(osProcess.getOutputStream(), StandardCharsets.UTF_8);
+        replies = new BufferedReader(new InputStreamReader(osProcess.getInputStream(),
+                StandardCharsets.UTF_8));
     }
 
     /**
@@ -53,7 +57,8 @@
         for (String pair : execute(command).split(" ")) {
             if (!pair.isEmpty()) {
                 int separator = pair.indexOf('=');
-                valuesByFront.put(Integer.parseInt(pair.substring(0, separator)), pair.substring(separator + 1));
+                valuesByFront.put(Integer.parseInt(pair.substring(0, separator)),
+                        pair.substring(separator + 1));
             }
         }
         return valuesByFront;
@@ -68,11 +73,11 @@
             // the process has ended already
         }
         try {
-            if (!process.waitFor(5, java.util.concurrent.TimeUnit.SECONDS)) {
-                process.destroyForcibly();
+            if (!osProcess.waitFor(5, java.util.concurrent.TimeUnit.SECONDS)) {
+                osProcess.destroyForcibly();
             }
         } catch (InterruptedException e) {
-            process.destroyForcibly();
+            osProcess.destroyForcibly();
             Thread.currentThread().interrupt();
         }
     }
--- a/src/rig/java/reedspring/rig/scale/ControlDriver.java
+++ b/src/rig/java/reedspring/rig/scale/ControlDriver.java
@@ -19,8 +19,8 @@
 import reedspring.rig.Rig;
 
 /**
- * Drives one {@link Control} without sockets or threads, in virtual time, so that the cost of each kind of event
- * can be measured alone. Times are in ticks; one tick is a tenth of a millisecond.
+ * Drives one {@link Control} without sockets or threads, in virtual time, so that the cost of each kind of
+ * event can be measured alone. Times are in ticks; one tick is a tenth of a millisecond.
  */
 final class ControlDriver {
     private static final long TICKS_PER_SECOND = 10_000;
@@ -49,13 +49,15 @@
                 Map.of(new Id.Kind("std"), new Deployment.Machine(ENGINE_CORES, 64_000)),
                 new Deployment.Allowed(false, true, false, 3, TICKS_PER_SECOND / 2),
                 new Deployment.Discovery(false, 10 * TICKS_PER_SECOND),
-                new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), null, TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND,
+                new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), null,
+                TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND,
                 true);
         control = new Control(seed, deployment, now, this::onAction);
     }
 
     private static Event.Listing listing(int k, Health health) {
-        return new Event.Listing(new Id.Engine(engineName(k)), new Id.Kind("std"), new Id.Zone("zone" + k % 14),
+        return new Event.Listing(new Id.Engine(engineName(k)), new Id.Kind("std"),
+                new Id.Zone("zone" + k % 14),
                 new Id.Cell(k % 5), health, 0);
     }
 
@@ -93,12 +95,14 @@
         lastSubmitted = null;
         deliver(new Event.Taken(new Id.Query(++lastId), new Id.Group(0), new Id.Tenant(0), Id.DataSet.UNKNOWN,
                 workTicks, 1, now + 5 * TICKS_PER_SECOND, null));
-        Rig.require(lastSubmitted != null && lastSubmitted.query().value() == lastId, "query " + lastId + " was not submitted");
+        Rig.require(lastSubmitted != null && lastSubmitted.query().value() == lastId, "query " + lastId
+                + " was not submitted");
         openQueries.add(lastSubmitted.query());
     }
 
     private void finishQuery(long runTicks) {
-        deliver(new Event.Closed(openQueries.poll(), new Id.Submission(0), Outcome.FINISHED, true, runTicks, 0, runTicks));
+        deliver(new Event.Closed(openQueries.poll(), new Id.Submission(0), Outcome.FINISHED, true, runTicks,
+                0, runTicks));
     }
 
     /** Accepts one query, requires that it is submitted at once, and finishes it after 4 ms. */
@@ -108,7 +112,9 @@
         finishQuery(SHORT_RUN_TICKS);
     }
 
-    /** Accepts one query of a stream with this rate; each stays open for 50 ms, so the number open is steady. */
+    /**
+     * Accepts one query of a stream with this rate; each stays open for 50 ms, so the number open is steady.
+     */
     void runQueryAtRate(double perSecond) {
         now += Math.max(1, Math.round(TICKS_PER_SECOND / perSecond));
         if (openQueries.size() >= perSecond * RUN_TICKS / TICKS_PER_SECOND) {
--- a/src/rig/java/reedspring/rig/scale/Figures.java
+++ b/src/rig/java/reedspring/rig/scale/Figures.java
@@ -44,19 +44,23 @@
         Files.createDirectories(target.getParent());
         Path temporary = Files.createTempFile(target.getParent(), target.getFileName() + ".", ".part");
         try {
-            try (Writer writer = Files.newBufferedWriter(temporary); CSVPrinter csv = new CSVPrinter(writer, FORMAT)) {
+            try (Writer writer = Files.newBufferedWriter(temporary); CSVPrinter csv =
+                    new CSVPrinter(writer, FORMAT)) {
                 csv.printRecord(COLUMNS);
                 for (Figure figure : figures) {
                     if (figure.run().isBlank() || figure.figure().isBlank() || figure.unit().isBlank()
                             || !Double.isFinite(figure.value())) {
                         throw new IllegalArgumentException("figure can't be stored: " + figure);
                     }
-                    csv.printRecord(figure.run(), figure.figure(), figure.unit(), figure.fronts(), figure.engines(),
-                            formatNumber(figure.queriesPerSecond()), figure.connections(), formatNumber(figure.changesPerSecond()),
+                    csv.printRecord(figure.run(), figure.figure(), figure.unit(), figure.fronts(),
+                            figure.engines(),
+                            formatNumber(figure.queriesPerSecond()), figure.connections(),
+                            formatNumber(figure.changesPerSecond()),
                             figure.repeat(), formatNumber(figure.value()));
                 }
             }
-            Files.move(temporary, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, target, StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
         } finally {
             Files.deleteIfExists(temporary);
         }
@@ -124,7 +128,8 @@
                     row.size() + " fields instead of " + COLUMNS.size());
         }
         Row fields = new Row(file, line, row);
-        return new Figure(fields.text(0), fields.text(1), fields.text(2), fields.count(3), fields.count(4), fields.rate(5), fields.count(6),
+        return new Figure(fields.text(0), fields.text(1), fields.text(2), fields.count(3), fields.count(4),
+                fields.rate(5), fields.count(6),
                 fields.rate(7), fields.count(8), fields.number(9));
     }
 
--- a/src/rig/java/reedspring/rig/scale/Fit.java
+++ b/src/rig/java/reedspring/rig/scale/Fit.java
@@ -16,7 +16,9 @@
  * tenth), for a line in the unit of the figure.
  */
 public record Fit(boolean powerLaw, double base, double slope, double residual) {
-    /** Minimum, median and maximum of repeated measurements; of an even number, the lower of the two medians. */
+    /**
+     * Minimum, median and maximum of repeated measurements; of an even number, the lower of the two medians.
+     */
     public record Summary(double min, double median, double max, int repeats) {
         /** Summarises figures by the value of a factor, in ascending order. */
         static Map<Double, Summary> byFactor(Stream<Figure> figures, ToDoubleFunction<Figure> factor) {
@@ -42,13 +44,15 @@
         double[] logX = Arrays.stream(x).map(Fit::requirePositive).map(Math::log).toArray();
         double[] logY = Arrays.stream(y).map(Fit::requirePositive).map(Math::log).toArray();
         SimpleRegression regression = regression(logX, logY);
-        return new Fit(true, Math.exp(regression.getIntercept()), regression.getSlope(), Math.exp(rootMeanSquareError(regression, logX.length)));
+        return new Fit(true, Math.exp(regression.getIntercept()), regression.getSlope(),
+                Math.exp(rootMeanSquareError(regression, logX.length)));
     }
 
     /** Fits a line. */
     public static Fit line(double[] x, double[] y) {
         SimpleRegression regression = regression(x, y);
-        return new Fit(false, regression.getIntercept(), regression.getSlope(), rootMeanSquareError(regression, x.length));
+        return new Fit(false, regression.getIntercept(), regression.getSlope(),
+                rootMeanSquareError(regression, x.length));
     }
 
     private static double requirePositive(double value) {
--- a/src/rig/java/reedspring/rig/scale/InForceChart.java
+++ b/src/rig/java/reedspring/rig/scale/InForceChart.java
@@ -15,7 +15,10 @@
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.knowm.xchart.style.Styler;
 
-/** Draws, as SVG, the time from each event of a run until it was in force at the first, median, 99th and last front. */
+/**
+ * Draws, as SVG, the time from each event of a run until it was in force at the first, median, 99th and last
+ * front.
+ */
 final class InForceChart {
     private static final List<String> RANKS = List.of("first", "median", "99th", "last");
     private static final int WIDTH = 1100;
@@ -30,7 +33,8 @@
         for (Figures.Figure figure : figures) {
             int separator = figure.figure().lastIndexOf('_');
             if (separator > 0 && RANKS.contains(figure.figure().substring(separator + 1))) {
-                valuesByEvent.computeIfAbsent(figure.figure().substring(0, separator).replace('_', ' '), k -> new TreeMap<>())
+                valuesByEvent.computeIfAbsent(figure.figure().substring(0, separator).replace('_', ' '), k ->
+                        new TreeMap<>())
                         .put(figure.figure().substring(separator + 1), figure.value());
             }
         }
--- a/src/rig/java/reedspring/rig/scale/JournalService.java
+++ b/src/rig/java/reedspring/rig/scale/JournalService.java
@@ -38,15 +38,16 @@
 import reedspring.rig.JournalStandIn;
 
 /**
- * A stand-in of the journal service for thousands of watchers, on one event loop. It has the protocol and event
- * format of {@link JournalStandIn}: numbered events, the complete list for a watcher without a position, then
- * changes, and a comment each second. A watcher is identified by the address that it connects to; it has two,
- * and its configuration names one of them.
+ * A stand-in of the journal service for thousands of watchers, on one event loop. It has the protocol and
+ * event format of {@link JournalStandIn}: numbered events, the complete list for a watcher without a
+ * position, then changes, and a comment each second. A watcher is identified by the address that it connects
+ * to; it has two, and its configuration names one of them.
  *
  * <p>Pending events are sent round robin, one event per connection and turn, within a byte rate for all
- * connections together. A slow reader is skipped while its socket is full: at most one event is queued for it,
- * and once it is more than {@link #KEPT} events behind it gets the complete list again. Complete lists are built
- * at most once a second and shared. A connection that reads nothing for {@link #STALL_S} seconds is closed.
+ * connections together. A slow reader is skipped while its socket is full: at most one event is queued for
+ * it, and once it is more than {@link #KEPT_EVENTS} events behind it gets the complete list again. Complete
+ * lists are built at most once a second and shared. A connection that reads nothing for {@link
+ * #STALL_TIMEOUT_S} seconds is closed.
  */
 final class JournalService implements Closeable {
     static final int ADDRESSES_PER_WATCHER = 2;
@@ -56,13 +57,14 @@
     private static final int STALL_TIMEOUT_S = 10;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long MAX_RUN_S = 3_600;
-    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n";
+    private static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n";
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final long loopThreadId = onLoop(() -> Thread.currentThread().getId());
-    private final long startedAt = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final long bytesPerSecond;
     private final Map<String, String> rows = new LinkedHashMap<>();
     private final ArrayDeque<ByteBuf> keptEvents = new ArrayDeque<>();
@@ -115,7 +117,8 @@
                                     new Stream(Watcher.this, addressIndex, peer));
                         }
                     }).bind(addresses[addressIndex] == null
-                            ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0) : addresses[addressIndex]);
+                            ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)
+                            : addresses[addressIndex]);
             serverChannels[addressIndex] = binding.channel();
             binding.addListener(result -> fault = result.isSuccess() ? fault
                     : "journal service: bind failed for watcher " + index + ": "
@@ -128,6 +131,7 @@
         private final Watcher watcher;
         private final int addressIndex;
         private final Channel peer;
+        /** Number of the last event sent or named by the request; -1 before the request. */
         private int lastSentEvent = -1;
         private boolean queued;
         private long lastProgressNanos;
@@ -232,7 +236,8 @@
         loop.scheduleAtFixedRate(this::sendWithinBudget, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(() -> {
             long now = System.nanoTime();
-            watchers.forEach(watcher -> List.copyOf(watcher.streams).forEach(call -> call.checkProgress(now)));
+            watchers.forEach(watcher -> List.copyOf(watcher.streams)
+                    .forEach(stream -> stream.checkProgress(now)));
         }, 500, 1_000, TimeUnit.MILLISECONDS);
     }
 
@@ -247,17 +252,19 @@
     }
 
     private int slot() {
-        return (int) ((System.nanoTime() - startedAt) / 1_000_000 / TICK_MS % requestsBySlot.length);
+        return (int) ((System.nanoTime() - startNanos) / 1_000_000 / TICK_MS % requestsBySlot.length);
     }
 
-    private void enqueue(Stream call) {
-        if (!call.queued) {
-            call.queued = true;
-            sendQueue.add(call);
+    private void enqueue(Stream stream) {
+        if (!stream.queued) {
+            stream.queued = true;
+            sendQueue.add(stream);
         }
     }
 
-    /** Sends pending events within the byte budget; unused budget accumulates for a tenth of a second at most. */
+    /**
+     * Sends pending events within the byte budget; unused budget accumulates for a tenth of a second at most.
+     */
     private void sendWithinBudget() {
         byteBudget = Math.min(bytesPerSecond / 10, byteBudget + bytesPerSecond * TICK_MS / 1000);
         for (int remaining = sendQueue.size(); remaining > 0 && byteBudget > 0; remaining--) {
@@ -287,8 +294,9 @@
         return snapshot;
     }
 
-    private static ByteBuf eventText(int number, boolean whole, String... hosts) {
-        return Unpooled.copiedBuffer("id: " + number + "\ndata: " + JournalStandIn.event(number, whole, hosts)
+    private static ByteBuf eventText(int number, boolean complete, String... hosts) {
+        return Unpooled.copiedBuffer("id: " + number + "\ndata: "
+                + JournalStandIn.event(number, complete, hosts)
                 + "\n\n", StandardCharsets.UTF_8);
     }
 
@@ -304,11 +312,12 @@
         return onLoop(() -> {
             changes.forEach(this::apply);
             lastEventNumber++;
-            keptEvents.add(eventText(lastEventNumber, false, changes.stream().map(Row::toJson).toArray(String[]::new)));
+            keptEvents.add(eventText(lastEventNumber, false, changes.stream().map(Row::toJson)
+                    .toArray(String[]::new)));
             if (keptEvents.size() > KEPT_EVENTS) {
                 keptEvents.poll().release();
             }
-            watchers.forEach(watcher -> watcher.streams.stream().filter(call -> call.lastSentEvent >= 0)
+            watchers.forEach(watcher -> watcher.streams.stream().filter(stream -> stream.lastSentEvent >= 0)
                     .forEach(this::enqueue));
             return lastEventNumber;
         });
@@ -318,7 +327,8 @@
         boolean gone = row.health.equals("gone");
         String previousJson = gone ? rows.remove(row.engine) : rows.put(row.engine, row.toJson());
         digest += (gone ? 0 : digest(row.engine, row.health.equals("ready")))
-                - (previousJson == null ? 0 : digest(row.engine, previousJson.contains("\"health\":\"ready\"")));
+                - (previousJson == null ? 0 : digest(row.engine,
+                previousJson.contains("\"health\":\"ready\"")));
     }
 
     private static long digest(String engine, boolean up) {
@@ -332,7 +342,8 @@
 
     /** The complete list as an event, for the {@code known} section of a configuration. */
     String known() {
-        return onLoop(() -> JournalStandIn.event(lastEventNumber, true, rows.values().toArray(String[]::new)));
+        return onLoop(() -> JournalStandIn.event(lastEventNumber, true, rows.values()
+                .toArray(String[]::new)));
     }
 
     /** Number of the last published event. */
@@ -365,7 +376,7 @@
     /** Resets the connections of a watcher whose process was killed. */
     void resetConnections(int watcher) {
         onLoop(() -> {
-            List.copyOf(watchers.get(watcher).streams).forEach(call -> reset(call.peer));
+            List.copyOf(watchers.get(watcher).streams).forEach(stream -> reset(stream.peer));
             return null;
         });
     }
@@ -379,18 +390,18 @@
 
     /**
      * Simulates a cut link to some watchers: nothing is read from them or sent to them, and no connection is
-     * closed. Unlike with a link that is really cut, the kernel completes the handshake of a new connection, so
-     * that the front takes a little longer to give it up.
+     * closed. Unlike with a link that is really cut, the kernel completes the handshake of a new connection,
+     * so that the front takes a little longer to give it up.
      */
     void setLinkDown(Set<Integer> indexes, boolean down) {
         onLoop(() -> {
             for (int k : indexes) {
                 Watcher watcher = watchers.get(k);
                 watcher.linkDown = down;
-                watcher.streams.forEach(call -> {
-                    call.peer.config().setAutoRead(!down);
-                    if (!down && call.lastSentEvent >= 0) {
-                        enqueue(call);
+                watcher.streams.forEach(stream -> {
+                    stream.peer.config().setAutoRead(!down);
+                    if (!down && stream.lastSentEvent >= 0) {
+                        enqueue(stream);
                     }
                 });
             }
@@ -398,7 +409,10 @@
         });
     }
 
-    /** Simulates the end of the service's process: stops listening and resets all connections, or listens again. */
+    /**
+     * Simulates the end of the service's process: stops listening and resets all connections, or listens
+     * again.
+     */
     void setUnavailable(boolean nowUnavailable) {
         onLoop(() -> {
             if (unavailable != nowUnavailable) {
@@ -411,26 +425,29 @@
                             watcher.listen(addressIndex);
                         }
                     }
-                    List.copyOf(watcher.streams).forEach(call -> reset(call.peer));
+                    List.copyOf(watcher.streams).forEach(stream -> reset(stream.peer));
                 }
             }
             return null;
         });
-        // The bind runs as a later task of the loop; wait for it, so that a connect right after this succeeds.
+        // The bind runs as a later task of the loop; wait for it, so that a connect right after this
+        // succeeds.
         onLoop(() -> null);
     }
 
     /** Requests of a watcher since a time, in order, each as address index and time. */
     List<long[]> requestsSince(int watcher, long sinceNanos) {
-        return onLoop(() -> watchers.get(watcher).requests.stream().filter(call -> call[1] >= sinceNanos).toList());
+        return onLoop(() -> watchers.get(watcher).requests.stream()
+                .filter(request -> request[1] >= sinceNanos).toList());
     }
 
     /** Watchers with an open connection to which all published events were sent. */
     Set<Integer> upToDateWatchers() {
         return onLoop(() -> {
             Set<Integer> upToDate = new LinkedHashSet<>();
-            watchers.stream().filter(watcher -> watcher.streams.stream().anyMatch(call ->
-                    call.lastSentEvent >= lastEventNumber && call.peer.isActive() && call.pendingBytes() == 0))
+            watchers.stream().filter(watcher -> watcher.streams.stream().anyMatch(stream ->
+                    stream.lastSentEvent >= lastEventNumber && stream.peer.isActive()
+                            && stream.pendingBytes() == 0))
                     .forEach(watcher -> upToDate.add(watcher.index));
             return upToDate;
         });
@@ -438,14 +455,16 @@
 
     /** Greatest number of requests in any 100 ms, and of bytes in any second, between two times. */
     long[] peakLoad(long fromNanos, long toNanos) {
-        int firstSlot = (int) ((fromNanos - startedAt) / 1_000_000 / TICK_MS);
-        int lastSlot = (int) ((toNanos - startedAt) / 1_000_000 / TICK_MS);
+        int firstSlot = (int) ((fromNanos - startNanos) / 1_000_000 / TICK_MS);
+        int lastSlot = (int) ((toNanos - startNanos) / 1_000_000 / TICK_MS);
         return onLoop(() -> {
             long maxRequests = 0;
             long maxBytes = 0;
             for (int k = firstSlot; k <= lastSlot; k++) {
-                maxRequests = Math.max(maxRequests, Arrays.stream(requestsBySlot, k, Math.min(k + 10, requestsBySlot.length)).sum());
-                maxBytes = Math.max(maxBytes, Arrays.stream(bytesBySlot, k, Math.min(k + 100, bytesBySlot.length)).sum());
+                maxRequests = Math.max(maxRequests, Arrays.stream(requestsBySlot, k,
+                        Math.min(k + 10, requestsBySlot.length)).sum());
+                maxBytes = Math.max(maxBytes, Arrays.stream(bytesBySlot, k,
+                        Math.min(k + 100, bytesBySlot.length)).sum());
             }
             return new long[] {maxRequests, maxBytes};
         });
@@ -453,7 +472,8 @@
 
     /** Events and bytes sent to each watcher so far. */
     long[][] counts() {
-        return onLoop(() -> watchers.stream().map(w -> new long[] {w.sentEvents, w.sentBytes}).toArray(long[][]::new));
+        return onLoop(() -> watchers.stream().map(w -> new long[] {w.sentEvents, w.sentBytes})
+                .toArray(long[][]::new));
     }
 
     /** CPU time of the event loop's thread so far. */
--- a/src/rig/java/reedspring/rig/scale/MeasuredFront.java
+++ b/src/rig/java/reedspring/rig/scale/MeasuredFront.java
@@ -27,7 +27,7 @@
     /** Descriptors of the measuring process that are kept free for everything but client connections. */
     private static final int RESERVED_DESCRIPTORS = 500;
     private final JournalStandIn journal = new JournalStandIn();
-    private final ScheduledExecutorService heartbeatExecutor = Executors.newScheduledThreadPool(1);
+    private final ScheduledExecutorService journalCommentExecutor = Executors.newScheduledThreadPool(1);
     private final ExecutorService callerExecutor = Executors.newFixedThreadPool(CALLER_THREADS);
     private final List<EngineStandIn> engines = new ArrayList<>();
     private final List<Client> clients = new ArrayList<>();
@@ -45,9 +45,10 @@
             hosts[k] = JournalStandIn.host("e" + k, engines.get(k).address(), "ready");
         }
         journal.tell(true, hosts);
-        heartbeatExecutor.scheduleAtFixedRate(journal::comment, 0, 1, TimeUnit.SECONDS);
+        journalCommentExecutor.scheduleAtFixedRate(journal::comment, 0, 1, TimeUnit.SECONDS);
         front = new Program(Program.config(Program.freeAddress(), journal.address(),
-                JournalStandIn.event(1, true, hosts)).replace("\"sockets\":1024", "\"sockets\":" + SOCKET_LIMIT)
+                JournalStandIn.event(1, true, hosts)).replace("\"sockets\":1024", "\"sockets\":"
+                + SOCKET_LIMIT)
                 .replace("\"memory_mb\":192", "\"memory_mb\":" + Slopes.MEMORY_MB)).ready();
     }
 
@@ -79,7 +80,10 @@
         return usageSince(cpuBefore, startNanos, 0);
     }
 
-    /** Sends queries at this rate over all connections in turn; a caller waits for each answer before its next query. */
+    /**
+     * Sends queries at this rate over all connections in turn; a caller waits for each answer before its next
+     * query.
+     */
     Usage measureServing(int queriesPerSecond, int durationMs) throws Exception {
         Map<Path, Long> cpuBefore = cpuNanosByThread();
         long startNanos = System.nanoTime();
@@ -87,7 +91,9 @@
         List<Future<Integer>> callerResults = new ArrayList<>();
         for (int k = 0; k < CALLER_THREADS; k++) {
             int callerIndex = k;
-            callerResults.add(callerExecutor.submit(() -> runCaller(callerIndex, startNanos, endNanos, 1_000_000_000L * CALLER_THREADS / queriesPerSecond)));
+            callerResults.add(callerExecutor.submit(() ->
+                    runCaller(callerIndex, startNanos, endNanos, 1_000_000_000L * CALLER_THREADS
+                            / queriesPerSecond)));
         }
         int answered = 0;
         for (Future<Integer> result : callerResults) {
@@ -96,7 +102,8 @@
         return usageSince(cpuBefore, startNanos, answered);
     }
 
-    private int runCaller(int callerIndex, long startNanos, long endNanos, long intervalNanos) throws IOException, InterruptedException {
+    private int runCaller(int callerIndex, long startNanos, long endNanos, long intervalNanos)
+            throws IOException, InterruptedException {
         int answered = 0;
         long nextNanos = startNanos + callerIndex * intervalNanos / CALLER_THREADS;
         for (int k = callerIndex; nextNanos < endNanos; k += CALLER_THREADS, nextNanos += intervalNanos) {
@@ -127,8 +134,8 @@
     }
 
     /**
-     * CPU time of each live thread. Compared thread by thread, since JIT threads end during a measurement: in a
-     * difference of sums, the time that they had used before it would be subtracted.
+     * CPU time of each live thread. Compared thread by thread, since JIT threads end during a measurement: in
+     * a difference of sums, the time that they had used before it would be subtracted.
      */
     private Map<Path, Long> cpuNanosByThread() throws IOException {
         Map<Path, Long> threads = new HashMap<>();
@@ -142,7 +149,7 @@
 
     @Override
     public void close() throws IOException {
-        heartbeatExecutor.shutdownNow();
+        journalCommentExecutor.shutdownNow();
         callerExecutor.shutdownNow();
         for (Client client : clients) {
             client.close();
--- a/src/rig/java/reedspring/rig/scale/Page.java
+++ b/src/rig/java/reedspring/rig/scale/Page.java
@@ -15,8 +15,8 @@
 import reedspring.rig.scale.Fit.Summary;
 
 /**
- * Generates the tables of docs/CAPACITY.md from the kept figures: what was measured, what that makes at the target
- * size (the deployment expected in two years), and which budgets that exceeds.
+ * Generates the tables of docs/CAPACITY.md from the kept figures: what was measured, what that makes at the
+ * target size (the deployment expected in two years), and which budgets that exceeds.
  */
 public final class Page {
     public static final Path RESULTS = Path.of("bench/results");
@@ -48,7 +48,8 @@
     private final List<Need> needs = new ArrayList<>();
     private final List<String> missingFigures = new ArrayList<>();
 
-    private record Need(String role, String subject, String calculation, double need, double budget, String unit,
+    private record Need(String role, String subject, String calculation, double need, double budget,
+            String unit,
             String basis) {
         private double ratio() {
             return need / budget;
@@ -71,7 +72,8 @@
     public static String tables(List<Figure> figures) {
         Page page = new Page(figures);
         page.computeNeeds();
-        return String.join("\n", page.measuredTable(), page.needsTable(), page.fewerEnginesTable(), page.overBudgetTable(), page.runsTable());
+        return String.join("\n", page.measuredTable(), page.needsTable(), page.fewerEnginesTable(),
+                page.overBudgetTable(), page.runsTable());
     }
 
     /** The text between the begin and end markers of the page. */
@@ -79,7 +81,8 @@
         int begin = page.indexOf(BEGIN);
         int end = page.indexOf(END);
         if (begin < 0 || end < begin) {
-            throw new IllegalArgumentException("the page has no begin marker followed by an end marker: " + BEGIN.trim());
+            throw new IllegalArgumentException("the page has no begin marker followed by an end marker: "
+                    + BEGIN.trim());
         }
         return page.substring(begin + BEGIN.length(), end);
     }
@@ -102,11 +105,14 @@
         return powerLaw ? Fit.powerLaw(x, y) : Fit.line(x, y);
     }
 
-    /** The value at 25,000 engines: measured there, or extrapolated from the largest measured size by the power law. */
+    /**
+     * The value at 25,000 engines: measured there, or extrapolated from the largest measured size by the
+     * power law.
+     */
     private Estimate atTargetSize(String name) {
         TreeMap<Double, Summary> summaries = new TreeMap<>(byEngines(name));
         if (summaries.isEmpty()) {
-            throw new IllegalArgumentException("no kept figure has the name " + name);
+            throw new IllegalArgumentException("no figure " + name + " is in the results");
         }
         double largestSize = summaries.lastKey();
         double largestMedian = summaries.get(largestSize).median();
@@ -114,8 +120,10 @@
             return new Estimate(largestMedian, "measured there");
         }
         double exponent = fit(summaries, true).slope();
-        return new Estimate(largestMedian * Math.pow(TARGET_ENGINES / largestSize, exponent), String.format(Locale.ROOT,
-                "%s times past %s engines, by x^%.2f", formatNumber(TARGET_ENGINES / largestSize), formatNumber(largestSize), exponent));
+        return new Estimate(largestMedian * Math.pow(TARGET_ENGINES / largestSize, exponent),
+                String.format(Locale.ROOT,
+                "%s times past %s engines, by x^%.2f", formatNumber(TARGET_ENGINES / largestSize),
+                formatNumber(largestSize), exponent));
     }
 
     private double singleValue(String name, String unit) {
@@ -137,26 +145,33 @@
         Estimate pulse = atTargetSize("control_pulse");
         Estimate report = atTargetSize("control_report");
         Estimate row = atTargetSize("control_row");
-        addNeed("front", "decisions on queries", QUERIES_PER_SECOND * query.value() / 1e6, CONTROL_BUDGET_CORES, "core",
+        addNeed("front", "decisions on queries", QUERIES_PER_SECOND * query.value() / 1e6,
+                CONTROL_BUDGET_CORES, "core",
                 query.basis(), "%s/s x %s us", QUERIES_PER_SECOND, query.value());
-        addNeed("front", "load reports, one with each answer", QUERIES_PER_SECOND * report.value() / 1e6, CONTROL_BUDGET_CORES,
+        addNeed("front", "load reports, one with each answer", QUERIES_PER_SECOND * report.value() / 1e6,
+                CONTROL_BUDGET_CORES,
                 "core", report.basis(), "%s/s x %s us", QUERIES_PER_SECOND, report.value());
-        addNeed("front", "pulses", PULSES_PER_SECOND * pulse.value() / 1e6, CONTROL_BUDGET_CORES, "core", pulse.basis(),
+        addNeed("front", "pulses", PULSES_PER_SECOND * pulse.value() / 1e6, CONTROL_BUDGET_CORES, "core",
+                pulse.basis(),
                 "%s/s x %s us", PULSES_PER_SECOND, pulse.value());
-        addNeed("front", "changed rows of an ordinary day", ROWS_PER_DAY / SECONDS_PER_DAY * row.value() / 1e6, CONTROL_BUDGET_CORES,
+        addNeed("front", "changed rows of an ordinary day", ROWS_PER_DAY / SECONDS_PER_DAY * row.value()
+                / 1e6, CONTROL_BUDGET_CORES,
                 "core", row.basis(), "%s rows / %s s x %s us", ROWS_PER_DAY, SECONDS_PER_DAY, row.value());
         addNeed("front", "changed rows, a tenth of the day's replacements in a minute",
                 ROWS_PER_PEAK_MINUTE / 60 * row.value() / 1e6, CONTROL_BUDGET_CORES, "core", row.basis(),
                 "%s rows / 60 s x %s us", ROWS_PER_PEAK_MINUTE, row.value());
-        addNeed("front", "stands still while a rack's rows come", ENGINES_PER_RACK * row.value() / 1e6, CHANGE_LIMIT_S, "s",
+        addNeed("front", "stands still while a rack's rows come", ENGINES_PER_RACK * row.value() / 1e6,
+                CHANGE_LIMIT_S, "s",
                 row.basis(), "%s rows x %s us", ENGINES_PER_RACK, row.value());
-        addNeed("front", "stands still while a zone's rows come", ENGINES_PER_ZONE * row.value() / 1e6, CHANGE_LIMIT_S, "s",
+        addNeed("front", "stands still while a zone's rows come", ENGINES_PER_ZONE * row.value() / 1e6,
+                CHANGE_LIMIT_S, "s",
                 row.basis(), "%s rows x %s us", ENGINES_PER_ZONE, row.value());
         Estimate first = atTargetSize("control_list_first");
         Estimate again = atTargetSize("control_list_again");
         addNeed("front", "stands still at its start, for the list in its configuration", first.value() / 1e3,
                 READY_LIMIT_S, "s", first.basis(), "%s ms once", first.value());
-        addNeed("front", "stands still when the whole list comes again", again.value() / 1e3, CHANGE_LIMIT_S, "s",
+        addNeed("front", "stands still when the whole list comes again", again.value() / 1e3, CHANGE_LIMIT_S,
+                "s",
                 again.basis(), "%s ms once", again.value());
         connectionNeeds();
         trafficNeeds();
@@ -170,10 +185,13 @@
         for (String sockets : List.of("1024", "4096")) {
             String unit = "count of " + sockets + " descriptors";
             addNeed("front", "client connections, of " + sockets + " descriptors", CONNECTIONS_PER_FRONT,
-                    singleValue("front_holds_clients", unit), "connections", "as its limits tell", "16,000,000 / %s",
+                    singleValue("front_holds_clients", unit), "connections", "as its limits tell",
+                    "16,000,000 / %s",
                     (double) Slopes.FRONTS);
-            double enginesInSubset = Math.ceil(TARGET_ENGINES * Math.log(TARGET_ENGINES / 0.05) / (0.3 * Slopes.FRONTS));
-            addNeed("front", "engines in its circle, a connection each, of " + sockets + " descriptors", enginesInSubset,
+            double enginesInSubset = Math.ceil(TARGET_ENGINES * Math.log(TARGET_ENGINES / 0.05)
+                    / (0.3 * Slopes.FRONTS));
+            addNeed("front", "engines in its circle, a connection each, of " + sockets + " descriptors",
+                    enginesInSubset,
                     singleValue("front_holds_engines", unit), "connections", "by the formula in Spread.turn",
                     "%s x ln(%s / 0.05) / (0.3 x %s)", (double) TARGET_ENGINES, (double) TARGET_ENGINES,
                     (double) Slopes.FRONTS);
@@ -194,7 +212,8 @@
         double maxRate = Summary.byFactor(named("front_busy_cpu"), Figure::queriesPerSecond).keySet().stream()
                 .mapToDouble(Double::doubleValue).max().orElseThrow();
         addNeed("front", "data path and all else at 8 engines", fit.valueAt(QUERIES_PER_SECOND), 1, "core",
-                formatNumber(QUERIES_PER_SECOND / maxRate) + " times past " + formatNumber(maxRate) + " queries/s, by the line",
+                formatNumber(QUERIES_PER_SECOND / maxRate) + " times past " + formatNumber(maxRate)
+                + " queries/s, by the line",
                 "%s + %s/s x %s us", fit.base(), QUERIES_PER_SECOND, fit.slope() * 1e6);
     }
 
@@ -202,26 +221,35 @@
         Estimate event = atTargetSize("journal_event");
         Estimate parsing = atTargetSize("journal_event_cpu");
         double maxEventBytes = singleValue("journal_event_bound", "B");
-        addNeed("journal, front", "one event with the whole list", event.value(), maxEventBytes, "B", event.basis(),
+        addNeed("journal, front", "one event with the whole list", event.value(), maxEventBytes, "B",
+                event.basis(),
                 "%s rows", (double) TARGET_ENGINES);
         // Mean of the longest reconnect delay, which is 0.25 to 0.5 s; reading time is left out.
         double meanDelayS = 0.375;
         if (event.value() > maxEventBytes) {
             addNeed("journal, front", "calls again for a list that it never gets, each cut off at the bound",
-                    maxEventBytes / meanDelayS, JOURNAL_BYTES_PER_SECOND, "B/s", "as Journal.again paces it", "%s B / %s s", maxEventBytes, meanDelayS);
+                    maxEventBytes / meanDelayS, JOURNAL_BYTES_PER_SECOND, "B/s", "as Journal.again paces it",
+                    "%s B / %s s", maxEventBytes, meanDelayS);
         }
-        addNeed("journal, front", "a whole list in a front's bytes", event.value() / JOURNAL_BYTES_PER_SECOND, CHANGE_LIMIT_S, "s",
+        addNeed("journal, front", "a whole list in a front's bytes", event.value()
+                / JOURNAL_BYTES_PER_SECOND, CHANGE_LIMIT_S, "s",
                 event.basis(), "%s B / %s B/s", event.value(), JOURNAL_BYTES_PER_SECOND);
         // An event with one row; a comment of two bytes is sent each second.
         double singleRowBytes = ControlDriver.fullListEvent(1).length;
-        addNeed("journal, front", "bytes of an ordinary day", ROWS_PER_DAY / SECONDS_PER_DAY * singleRowBytes + 2, JOURNAL_BYTES_PER_SECOND, "B/s",
-                "each row an event", "%s rows / %s s x %s B + 2 B/s", ROWS_PER_DAY, SECONDS_PER_DAY, singleRowBytes);
-        addNeed("journal, front", "a zone's rows in a front's bytes", ENGINES_PER_ZONE * singleRowBytes / JOURNAL_BYTES_PER_SECOND, CHANGE_LIMIT_S, "s",
-                "each row an event", "%s rows x %s B / %s B/s", ENGINES_PER_ZONE, singleRowBytes, JOURNAL_BYTES_PER_SECOND);
+        addNeed("journal, front", "bytes of an ordinary day", ROWS_PER_DAY / SECONDS_PER_DAY * singleRowBytes
+                + 2, JOURNAL_BYTES_PER_SECOND, "B/s",
+                "each row an event", "%s rows / %s s x %s B + 2 B/s", ROWS_PER_DAY, SECONDS_PER_DAY,
+                singleRowBytes);
+        addNeed("journal, front", "a zone's rows in a front's bytes", ENGINES_PER_ZONE * singleRowBytes
+                / JOURNAL_BYTES_PER_SECOND, CHANGE_LIMIT_S, "s",
+                "each row an event", "%s rows x %s B / %s B/s", ENGINES_PER_ZONE, singleRowBytes,
+                JOURNAL_BYTES_PER_SECOND);
         addNeed("configuration", "bytes of the files, each with the list under `known`",
-                CONFIGURATIONS_PER_SECOND * event.value(), JOURNAL_BYTES_PER_SECOND, "B/s", "if it is sent whole, as the front reads it",
+                CONFIGURATIONS_PER_SECOND * event.value(), JOURNAL_BYTES_PER_SECOND, "B/s",
+                "if it is sent whole, as the front reads it",
                 "14,000 / %s s x %s B", SECONDS_PER_DAY, event.value());
-        addNeed("configuration", "reading the files", CONFIGURATIONS_PER_SECOND * parsing.value() / 1e3, CONTROL_BUDGET_CORES,
+        addNeed("configuration", "reading the files", CONFIGURATIONS_PER_SECOND * parsing.value() / 1e3,
+                CONTROL_BUDGET_CORES,
                 "core", parsing.basis(), "14,000 / %s s x %s ms", SECONDS_PER_DAY, parsing.value());
         addNeed("configuration", "reading 100 files that come in one second", 100 * parsing.value() / 1e3,
                 CONFIGURATION_LIMIT_S, "s", parsing.basis(), "100 x %s ms", parsing.value());
@@ -241,18 +269,25 @@
     }
 
     private void idleNeeds(Estimate control) {
-        Map<Double, Summary> memoryByConnections = Summary.byFactor(named("front_idle_memory").filter(f -> f.connections() > 0),
+        Map<Double, Summary> memoryByConnections = Summary.byFactor(named("front_idle_memory")
+                .filter(f -> f.connections() > 0),
                 f -> f.connections());
         Fit memoryFit = fit(memoryByConnections, false);
-        double maxConnections = memoryByConnections.keySet().stream().mapToDouble(Double::doubleValue).max().orElseThrow();
-        addNeed("front", "memory with all its clients idle, at 8 engines, and the list's", memoryFit.valueAt(CONNECTIONS_PER_FRONT)
-                + control.value(), MEMORY_MB * 1.048576, "MB", formatNumber(CONNECTIONS_PER_FRONT / maxConnections) + " times "
-                + formatNumber(maxConnections) + " connections, by the line", "%s + %s x %s MB + %s", memoryFit.base(), CONNECTIONS_PER_FRONT,
+        double maxConnections = memoryByConnections.keySet().stream().mapToDouble(Double::doubleValue).max()
+                .orElseThrow();
+        addNeed("front", "memory with all its clients idle, at 8 engines, and the list's",
+                memoryFit.valueAt(CONNECTIONS_PER_FRONT)
+                + control.value(), MEMORY_MB * 1.048576, "MB",
+                formatNumber(CONNECTIONS_PER_FRONT / maxConnections) + " times "
+                + formatNumber(maxConnections) + " connections, by the line", "%s + %s x %s MB + %s",
+                memoryFit.base(), CONNECTIONS_PER_FRONT,
                 memoryFit.slope(), control.value());
         Fit cpuFit = fit(Summary.byFactor(named("front_idle_cpu").filter(f -> f.connections() > 0),
                 f -> f.connections()), false);
-        addNeed("front", "idle clients", cpuFit.valueAt(CONNECTIONS_PER_FRONT), CONTROL_BUDGET_CORES, "core", formatNumber(CONNECTIONS_PER_FRONT / maxConnections)
-                + " times " + formatNumber(maxConnections) + " connections, by the line", "%s + %s x %s core", cpuFit.base(),
+        addNeed("front", "idle clients", cpuFit.valueAt(CONNECTIONS_PER_FRONT), CONTROL_BUDGET_CORES, "core",
+                formatNumber(CONNECTIONS_PER_FRONT / maxConnections)
+                + " times " + formatNumber(maxConnections) + " connections, by the line",
+                "%s + %s x %s core", cpuFit.base(),
                 CONNECTIONS_PER_FRONT, cpuFit.slope());
     }
 
@@ -270,15 +305,18 @@
             appendRow(text, name, unit, "fronts known (400 engines)", Summary.byFactor(named(name).filter(f ->
                     f.engines() == 400 && f.queriesPerSecond() == 0 && f.fronts() > 0), Figure::fronts),
                     true);
-            appendRow(text, name, unit, "queries/s", Summary.byFactor(named(name).filter(f -> f.queriesPerSecond() > 0
+            appendRow(text, name, unit, "queries/s", Summary.byFactor(named(name)
+                    .filter(f -> f.queriesPerSecond() > 0
                     && !name.contains("connections")), Figure::queriesPerSecond), false);
-            appendRow(text, name, unit, "connections", Summary.byFactor(named(name).filter(f -> f.connections() > 0
+            appendRow(text, name, unit, "connections", Summary.byFactor(named(name)
+                    .filter(f -> f.connections() > 0
                     || name.startsWith("front_idle")), Figure::connections), false);
         }
         missingFigures.forEach(name -> text.append("\nNot measured: ").append(name).append(".\n"));
         figures.stream().filter(f -> f.figure().endsWith("_cut_off")).forEach(f -> text.append("\nCut off: ")
                 .append(f.figure().replace("_cut_off", "")).append(" at ").append(formatNumber(f.engines()))
-                .append(" engines had not ended after ").append(formatNumber(f.value())).append(" s of CPU.\n"));
+                .append(" engines had not ended after ").append(formatNumber(f.value()))
+                .append(" s of CPU.\n"));
         return text.toString();
     }
 
@@ -289,13 +327,15 @@
         }
         boolean fitPowerLaw = powerLaw && summaries.values().stream().allMatch(s -> s.median() > 0);
         text.append("| ").append(name).append(", ").append(unit).append(" | ").append(factor).append(" | ")
-                .append(summaries.entrySet().stream().map(e -> formatNumber(e.getKey()) + ": " + formatSummary(e.getValue()))
+                .append(summaries.entrySet().stream().map(e -> formatNumber(e.getKey()) + ": "
+                + formatSummary(e.getValue()))
                         .collect(Collectors.joining("; ")))
                 .append(" | ").append(fit(summaries, fitPowerLaw)).append(" |\n");
     }
 
     private static String formatSummary(Summary summary) {
-        return formatNumber(summary.min()) + " / " + formatNumber(summary.median()) + " / " + formatNumber(summary.max()) + " ("
+        return formatNumber(summary.min()) + " / " + formatNumber(summary.median()) + " / "
+                + formatNumber(summary.max()) + " ("
                 + summary.repeats() + ")";
     }
 
@@ -304,8 +344,10 @@
                 + " | need | budget | need / budget | how far carried |\n"
                 + "| --- | --- | --- | ---: | ---: | ---: | --- |\n");
         needs.forEach(n -> text.append("| ").append(n.role()).append(" | ").append(n.subject()).append(" | ")
-                .append(n.calculation()).append(" | ").append(formatNumber(n.need())).append(' ').append(n.unit())
-                .append(" | ").append(formatNumber(n.budget())).append(" | ").append(formatNumber(n.ratio())).append(" | ")
+                .append(n.calculation()).append(" | ").append(formatNumber(n.need())).append(' ')
+                .append(n.unit())
+                .append(" | ").append(formatNumber(n.budget())).append(" | ").append(formatNumber(n.ratio()))
+                .append(" | ")
                 .append(n.basis()).append(" |\n"));
         return text.toString();
     }
@@ -321,9 +363,11 @@
             double reports = QUERIES_PER_SECOND * byEngines("control_report").get(engines).median() / 1e6;
             double pulses = PULSES_PER_SECOND * byEngines("control_pulse").get(engines).median() / 1e6;
             double sum = queries + reports + pulses;
-            text.append("| ").append(formatNumber(engines)).append(" | ").append(formatNumber(queries)).append(" | ")
+            text.append("| ").append(formatNumber(engines)).append(" | ").append(formatNumber(queries))
+                    .append(" | ")
                     .append(formatNumber(reports)).append(" | ").append(formatNumber(pulses)).append(" | ")
-                    .append(formatNumber(sum / CONTROL_BUDGET_CORES)).append(" | ").append(formatNumber(sum)).append(" |\n");
+                    .append(formatNumber(sum / CONTROL_BUDGET_CORES)).append(" | ").append(formatNumber(sum))
+                    .append(" |\n");
         });
         return text.toString();
     }
@@ -332,9 +376,11 @@
         StringBuilder text = new StringBuilder("### What does not fit, worst first\n\n| role | what | need |"
                 + " budget | times too much |\n| --- | --- | ---: | ---: | ---: |\n");
         needs.stream().filter(n -> n.ratio() > 1).sorted(Comparator.comparingDouble(Need::ratio).reversed())
-                .forEach(n -> text.append("| ").append(n.role()).append(" | ").append(n.subject()).append(" | ")
+                .forEach(n -> text.append("| ").append(n.role()).append(" | ").append(n.subject())
+                .append(" | ")
                         .append(formatNumber(n.need())).append(' ').append(n.unit()).append(" | ")
-                        .append(formatNumber(n.budget())).append(" | ").append(formatNumber(n.ratio())).append(" |\n"));
+                        .append(formatNumber(n.budget())).append(" | ").append(formatNumber(n.ratio()))
+                        .append(" |\n"));
         return text.toString();
     }
 
--- a/src/rig/java/reedspring/rig/scale/Scale.java
+++ b/src/rig/java/reedspring/rig/scale/Scale.java
@@ -15,7 +15,9 @@
 import reedspring.rig.fleet.Timetable;
 import reedspring.settings.SettingsException;
 
-/** Main class of bench/scale: runs many hollow fronts beside a few real ones, with the events of a timetable. */
+/**
+ * Main class of bench/scale: runs many hollow fronts beside a few real ones, with the events of a timetable.
+ */
 @Command(name = "bench/scale", sortOptions = false)
 public final class Scale implements Callable<Integer> {
     private static final int EXIT_USAGE = 64;
@@ -23,23 +25,26 @@
     private static final int EXIT_UNAVAILABLE = 69;
     private static final int EXIT_RULE_VIOLATED = 1;
 
-    @Option(names = "--seed", paramLabel = "N", description = "of all that is drawn")
+    @Option(names = "--seed", paramLabel = "N", description = "seed of all random choices")
     private long seed = 1;
-    @Option(names = "--fronts", paramLabel = "N", description = "in place of the timetable's")
+    @Option(names = "--fronts", paramLabel = "N", description =
+            "number of fronts, instead of the timetable's")
     private int fronts;
-    @Option(names = "--engines", paramLabel = "N", description = "in place of the timetable's")
+    @Option(names = "--engines", paramLabel = "N", description =
+            "number of engines, instead of the timetable's")
     private int engines;
-    @Option(names = "--real", paramLabel = "N", description = "how many of the fronts are started programs")
+    @Option(names = "--real", paramLabel = "N", description = "number of fronts that run as processes")
     private int real;
-    @Option(names = "--short", description = "ends in two minutes")
+    @Option(names = "--short", description = "runs for at most two minutes")
     private boolean shortRun;
-    @Option(names = "--timetable", paramLabel = "FILE", description = "what happens when")
+    @Option(names = "--timetable", paramLabel = "FILE", description = "timetable of the run")
     private Path timetable;
-    @Option(names = "--out", paramLabel = "DIR", description = "for the figures as CSV and the charts as SVG")
+    @Option(names = "--out", paramLabel = "DIR", description =
+            "directory for the figures (CSV) and the charts (SVG)")
     private Path outDirectory;
-    @Option(names = "--page", description = "prints the table of docs/CAPACITY.md from the kept figures")
+    @Option(names = "--page", description = "prints the tables of docs/CAPACITY.md from the kept figures")
     private boolean page;
-    @Option(names = "--slopes", description = "measures each factor alone instead, into --out")
+    @Option(names = "--slopes", description = "measures the cost of each factor instead, into --out")
     private boolean slopes;
 
     public static void main(String[] args) {
@@ -65,7 +70,8 @@
             }
             Files.createDirectories(outDirectory);
             List<Figures.Figure> all = Slopes.measure(outDirectory, seed, shortRun, null);
-            System.out.println("figures=" + all.size() + " charts=" + SlopeCharts.writeByEngines(all, outDirectory).size());
+            System.out.println("figures=" + all.size() + " charts="
+                    + SlopeCharts.writeByEngines(all, outDirectory).size());
             return 0;
         }
         Path file = timetable != null ? timetable
@@ -73,8 +79,8 @@
         Timetable table;
         try {
             table = Timetable.read(file);
-        } catch (SettingsException engineCount) {
-            System.err.println(engineCount.getMessage());
+        } catch (SettingsException e) {
+            System.err.println(e.getMessage());
             return EXIT_UNUSABLE_CONFIGURATION;
         }
         int frontCount = fronts > 0 ? fronts : table.fronts();
@@ -93,7 +99,8 @@
             ScaleRun.Result result = run.play();
             if (outDirectory != null) {
                 Figures.write(outDirectory.resolve("scale.csv"), result.figures());
-                InForceChart.write(outDirectory.resolve("in-force.svg"), frontCount + " fronts, " + engineCount + " engines", result.figures());
+                InForceChart.write(outDirectory.resolve("in-force.svg"), frontCount + " fronts, "
+                        + engineCount + " engines", result.figures());
             }
             System.out.println(result.summary());
             result.violations().forEach(violation -> System.err.println("BROKEN " + violation));
@@ -104,7 +111,9 @@
         }
     }
 
-    /** Number of fronts, engines, and real fronts among the fronts, and the machine resources that they need. */
+    /**
+     * Number of fronts, engines, and real fronts among the fronts, and the machine resources that they need.
+     */
     record Size(int fronts, int engines, int realFronts) {
         private static final int FRONTS_PER_PROCESS = 250;
         private static final int ENGINES_PER_PROCESS = 8_192;
@@ -124,9 +133,13 @@
             return fronts - realFronts;
         }
 
-        /** Heap of one process of hollow fronts. A front was measured to hold under a kilobyte for each engine. */
+        /**
+         * Heap of one process of hollow fronts. A front was measured to hold under a kilobyte for each
+         * engine.
+         */
         int hollowHeapMb() {
-            int frontsPerProcess = (hollowFronts() + Math.max(1, hollowProcesses()) - 1) / Math.max(1, hollowProcesses());
+            int frontsPerProcess = (hollowFronts() + Math.max(1, hollowProcesses()) - 1)
+                    / Math.max(1, hollowProcesses());
             return 192 + (int) (frontsPerProcess * (0.25 + engines * 0.0015));
         }
 
@@ -143,7 +156,8 @@
         }
 
         long memoryMb() {
-            return MAIN_PROCESS_MB + (long) hollowProcesses() * hollowHeapMb() + engineProcesses() * 512L + 256
+            return MAIN_PROCESS_MB + (long) hollowProcesses() * hollowHeapMb() + engineProcesses() * 512L
+                    + 256
                     + (long) realFronts * realMb();
         }
 
@@ -157,8 +171,10 @@
             return descriptors() > limit ? String.format(Locale.ROOT,
                     "%d descriptors are needed in one process for %d fronts and %d engines, the limit is %d",
                     descriptors(), fronts, engines, limit)
-                    : memoryMb() > halfMemoryMb ? String.format(Locale.ROOT, "%d MB are needed for %d fronts and %d "
-                    + "engines, half of the machine's memory is %d MB", memoryMb(), fronts, engines, halfMemoryMb)
+                    : memoryMb() > halfMemoryMb ? String.format(Locale.ROOT,
+                    "%d MB are needed for %d fronts and %d "
+                    + "engines, half of the machine's memory is %d MB", memoryMb(), fronts, engines,
+                    halfMemoryMb)
                     : processes > MAX_PROCESSES ? processes + " processes are needed, the most are "
                     + MAX_PROCESSES : null;
         }
--- a/src/rig/java/reedspring/rig/scale/ScaleRun.java
+++ b/src/rig/java/reedspring/rig/scale/ScaleRun.java
@@ -38,7 +38,9 @@
     private static final long CONFIGURED_WITHIN_NANOS = 11 * NANOS_PER_SECOND;
     private static final long CHANGED_WITHIN_NANOS = 7 * NANOS_PER_SECOND;
     private static final long READY_WITHIN_NANOS = 10 * NANOS_PER_SECOND;
+    /** Added to the time within which the last query may reach a draining engine. */
     private static final long DRAIN_SLACK_NANOS = 250 * NANOS_PER_MS;
+    /** A draining engine leaves the list this long after its draining row. */
     private static final long GONE_AFTER_NANOS = NANOS_PER_SECOND;
     /** Greatest peak that is allowed, as a multiple of the rate that pacing aims at. */
     private static final double MAX_PEAK_RATIO = 3;
@@ -62,6 +64,7 @@
     private final List<ChildProcess> hollowProcesses = new ArrayList<>();
     private final List<ChildProcess> engineProcesses = new ArrayList<>();
     private final List<ChildProcess> processes = new ArrayList<>();
+    /** Number of replacements by engine; part of the engine's name. */
     private final Map<Integer, Integer> generations = new HashMap<>();
     private final Map<Integer, Integer> addressIndexes = new HashMap<>();
     private final List<List<String>> journalAddresses = new ArrayList<>();
@@ -88,8 +91,9 @@
         void run() throws IOException;
     }
 
-    /** @param timed whether to check time limits, which a busy machine may miss */
-    ScaleRun(Timetable timetable, Path timetableFile, Scale.Size size, long seed, boolean checkTimes) throws IOException {
+    /** @param checkTimes whether to check time limits, which a busy machine may miss */
+    ScaleRun(Timetable timetable, Path timetableFile, Scale.Size size, long seed, boolean checkTimes)
+            throws IOException {
         this.checkTimes = checkTimes;
         this.timetable = timetable.sized(size.fronts(), size.engines());
         this.timetableFile = timetableFile;
@@ -99,7 +103,8 @@
     }
 
     private ChildProcess startProcess(String role, int heapMb) throws IOException {
-        ChildProcess process = new ChildProcess(role, heapMb, directory.resolve(role + processes.size() + ".log"));
+        ChildProcess process = new ChildProcess(role, heapMb,
+                directory.resolve(role + processes.size() + ".log"));
         processes.add(process);
         return process;
     }
@@ -111,6 +116,7 @@
 
     // ---- startup
 
+    /** One spare engine address is provided for this many engines, but at least 8. */
     private static final int SPARE_DIVISOR = 4;
 
     private int secondOctet() {
@@ -124,7 +130,8 @@
     private JournalService.Row row(int engine, String health) {
         int generation = generations.getOrDefault(engine, 0);
         String address = ChildMain.engineAddress(secondOctet(), addressIndexes.get(engine)) + ":" + port();
-        return new JournalService.Row("e" + engine + "-" + generation, address, String.valueOf(timetable.site(engine)),
+        return new JournalService.Row("e" + engine + "-" + generation, address,
+                String.valueOf(timetable.site(engine)),
                 Terms.kind(timetable.cores(engine)), health, 0);
     }
 
@@ -135,7 +142,8 @@
         for (int first = 0; first < addresses; first += 8_192) {
             ChildProcess process = startProcess("engines", 512);
             engineProcesses.add(process);
-            process.execute("start " + secondOctet() + " " + port() + " " + first + " " + Math.min(addresses, first + 8_192));
+            process.execute("start " + secondOctet() + " " + port() + " " + first + " "
+                    + Math.min(addresses, first + 8_192));
         }
         IntStream.range(0, size.engines()).forEach(k -> addressIndexes.put(k, k));
         journal.publish(IntStream.range(0, size.engines()).mapToObj(k -> row(k, "ready")).toList());
@@ -146,29 +154,33 @@
             listenAddresses.add(listen);
             writeConfigurations(k);
         }
-        long first = System.nanoTime();
+        long startupNanos = System.nanoTime();
         int nextFront = size.realFronts();
         for (int index = 0; index < size.hollowProcesses(); index++) {
-            int untilFront = size.realFronts() + (int) ((long) size.hollowFronts() * (index + 1) / size.hollowProcesses());
+            int untilFront = size.realFronts() + (int) ((long) size.hollowFronts() * (index + 1)
+                    / size.hollowProcesses());
             ChildProcess process = startProcess("hollow", size.hollowHeapMb());
             hollowProcesses.add(process);
-            process.execute("start " + directory + " " + joinNumbers(nextFront, untilFront) + " " + LOOPS_PER_PROCESS + " " + HOLLOW_QUERIES_PER_SECOND + " "
+            process.execute("start " + directory + " " + joinNumbers(nextFront, untilFront) + " "
+                    + LOOPS_PER_PROCESS + " " + HOLLOW_QUERIES_PER_SECOND + " "
                     + timetableFile);
             nextFront = untilFront;
         }
         log(size.hollowFronts() + " hollow fronts started");
         if (size.realFronts() > 0) {
             realProcess = startProcess("real", 256);
-            realProcess.execute("start " + directory + " " + joinNumbers(0, size.realFronts()) + " " + REAL_QUERIES_PER_SECOND + " " + timetableFile);
+            realProcess.execute("start " + directory + " " + joinNumbers(0, size.realFronts()) + " "
+                    + REAL_QUERIES_PER_SECOND + " " + timetableFile);
             log(size.realFronts() + " real fronts are ready");
         }
-        long deadline = first + 60 * NANOS_PER_SECOND;
+        long deadline = startupNanos + 60 * NANOS_PER_SECOND;
         while (journal.upToDateWatchers().size() < size.fronts()) {
-            require(System.nanoTime() < deadline, "only " + journal.upToDateWatchers().size() + " of " + size.fronts()
+            require(System.nanoTime() < deadline, "only " + journal.upToDateWatchers().size() + " of "
+                    + size.fronts()
                     + " fronts are up to date with the journal after a minute");
             pause(50);
         }
-        figure("start_all_in_step", (System.nanoTime() - first) / 1e9);
+        figure("start_all_in_step", (System.nanoTime() - startupNanos) / 1e9);
         if (realProcess != null) {
             realProcess.execute("ask");
         }
@@ -223,6 +235,7 @@
         return result();
     }
 
+    /** @param ticks time from the start of the run; one tick is a tenth of a millisecond */
     private void schedule(long ticks, Step step) {
         steps.computeIfAbsent(ticks, k -> new ArrayList<>()).add(step);
     }
@@ -246,7 +259,8 @@
                         changeNanos.add(now);
                         reloadAll(configurationSuffix);
                         if (last) {
-                            figure(entry.title() + " made_in_s", (System.nanoTime() - firstChangeNanos) / 1e9);
+                            figure(entry.title() + " made_in_s", (System.nanoTime() - firstChangeNanos)
+                                    / 1e9);
                         }
                         if (last || checkEach) {
                             checkConfigured(entry.title() + (checkEach ? " " + number : ""), now);
@@ -274,11 +288,13 @@
                 }
             }
             case LOSE -> {
-                schedule(entry.at(), () -> expectInForce(entry.title() + " gone", journal.publish(engines.stream()
+                schedule(entry.at(), () -> expectInForce(entry.title() + " gone",
+                        journal.publish(engines.stream()
                         .map(e -> row(e, "gone")).toList())));
                 schedule(entry.until(), () -> {
                     engines.forEach(e -> generations.merge(e, 1, Integer::sum));
-                    expectInForce(entry.title() + " back", journal.publish(engines.stream().map(e -> row(e, "ready"))
+                    expectInForce(entry.title() + " back", journal.publish(engines.stream()
+                            .map(e -> row(e, "ready"))
                             .toList()));
                 });
             }
@@ -334,19 +350,24 @@
         return Stream.concat(hollowProcesses.stream(), Stream.ofNullable(realProcess)).toList();
     }
 
-    /** Checks a configuration: it is in force once a front connects to the journal address that it names, and no other. */
+    /**
+     * Checks a configuration: it is in force once a front connects to the journal address that it names, and
+     * no other.
+     */
     private void checkConfigured(String title, long sinceNanos) {
         int expectedIndex = configurationSuffix.equals("a") ? 0 : 1;
         log(title + ": configuration written");
         Set<Integer> fronts = liveFronts();
         finalChecks.add(() -> {
             List<Long> delays = new ArrayList<>();
-            long nextChangeNanos = changeNanos.stream().filter(at -> at > sinceNanos).findFirst().orElse(Long.MAX_VALUE);
+            long nextChangeNanos = changeNanos.stream().filter(nanos -> nanos > sinceNanos).findFirst()
+                    .orElse(Long.MAX_VALUE);
             for (int front : fronts) {
                 List<long[]> requests = journal.requestsSince(front, sinceNanos);
                 long connectedNanos = 0;
                 for (long[] request : requests) {
-                    connectedNanos = request[1] >= nextChangeNanos ? connectedNanos : request[0] != expectedIndex ? 0 : connectedNanos == 0 ? request[1] : connectedNanos;
+                    connectedNanos = request[1] >= nextChangeNanos ? connectedNanos : request[0] !=
+                            expectedIndex ? 0 : connectedNanos == 0 ? request[1] : connectedNanos;
                 }
                 if (downFronts.contains(front) || restartedSince(front, sinceNanos)) {
                     continue;
@@ -365,6 +386,7 @@
         return restartNanos.getOrDefault(front, 0L) >= sinceNanos;
     }
 
+    /** Time at which a front was last killed or restarted. */
     private final Map<Integer, Long> restartNanos = new HashMap<>();
 
     /** Checks that all fronts reject the invalid configuration, log the field, and keep the old one. */
@@ -376,7 +398,8 @@
         schedule((sinceNanos - startNanos) / 100_000 + 30_000, () -> {
             for (int front : fronts) {
                 if (!restartedSince(front, sinceNanos) && lastAddressIndex(front) != indexBefore.get(front)) {
-                    violations.add(title + ": front " + front + " changed its journal address for an invalid configuration");
+                    violations.add(title + ": front " + front
+                            + " changed its journal address for an invalid configuration");
                 }
             }
             Set<Integer> rejecting = new HashSet<>();
@@ -410,17 +433,23 @@
         return fronts;
     }
 
+    /**
+     * Publishes the draining row and the replacement in one event, at a new address; later removes the old
+     * row.
+     */
     private void replaceAtOnce(String title, int engine) throws IOException {
         int oldAddressIndex = addressIndexes.get(engine);
         JournalService.Row old = row(engine, "draining");
         generations.merge(engine, 1, Integer::sum);
-        addressIndexes.put(engine, nextAddressIndex++ % (size.engines() + Math.max(8, size.engines() / SPARE_DIVISOR)));
+        addressIndexes.put(engine, nextAddressIndex++ % (size.engines()
+                + Math.max(8, size.engines() / SPARE_DIVISOR)));
         JournalService.Row replacement = row(engine, "ready");
         int eventNumber = journal.publish(List.of(old, replacement));
         long publishedNanos = System.nanoTime();
         log(title + ": " + old.engine() + " drains, replaced by " + replacement.engine());
         expectInForce(title, eventNumber, publishedNanos);
-        schedule((publishedNanos - startNanos + GONE_AFTER_NANOS) / 100_000, () -> journal.publish(List.of(new JournalService.Row(
+        schedule((publishedNanos - startNanos + GONE_AFTER_NANOS) / 100_000, () ->
+                journal.publish(List.of(new JournalService.Row(
                 old.engine(), old.address(), old.zone(), old.kind(), "gone", 0))));
         finalChecks.add(() -> {
             try {
@@ -428,14 +457,18 @@
                 for (ChildProcess process : hollowProcesses) {
                     lastSent.putAll(process.executePerFront("sent " + old.engine()));
                 }
-                lastSent.putAll(engineProcesses.get(oldAddressIndex / 8_192).executePerFront("sent " + oldAddressIndex));
+                lastSent.putAll(engineProcesses.get(oldAddressIndex / 8_192)
+                        .executePerFront("sent " + oldAddressIndex));
                 lastSent.forEach((front, nanos) -> {
-                    boolean reachable = outages.stream().noneMatch(fault -> fault.fronts.contains(front)
-                            && fault.fromNanos < publishedNanos + NANOS_PER_SECOND && fault.toNanos > publishedNanos - NANOS_PER_SECOND);
-                    long limitNanos = checkTimes && reachable ? Terms.DRAIN_MS * NANOS_PER_MS : CHANGED_WITHIN_NANOS;
+                    boolean reachable = outages.stream().noneMatch(outage -> outage.fronts.contains(front)
+                            && outage.fromNanos < publishedNanos + NANOS_PER_SECOND
+                            && outage.toNanos > publishedNanos - NANOS_PER_SECOND);
+                    long limitNanos = checkTimes && reachable ? Terms.DRAIN_MS * NANOS_PER_MS
+                            : CHANGED_WITHIN_NANOS;
                     if (Long.parseLong(nanos) > publishedNanos + limitNanos + DRAIN_SLACK_NANOS) {
                         violations.add(title + ": front " + front + " sent to " + old.engine() + " "
-                                + (Long.parseLong(nanos) - publishedNanos) / NANOS_PER_MS + " ms after the draining row was published");
+                                + (Long.parseLong(nanos) - publishedNanos) / NANOS_PER_MS
+                                + " ms after the draining row was published");
                     }
                 });
                 long usingFronts = 0;
@@ -450,6 +483,7 @@
         });
     }
 
+    /** Publishes the draining row, and later removes it and adds the replacement at the same address. */
     private void replaceAfterDrain(String title, int engine) throws IOException {
         JournalService.Row old = row(engine, "draining");
         expectInForce(title, journal.publish(List.of(old)));
@@ -458,7 +492,8 @@
                     old.kind(), "gone", 0);
             generations.merge(engine, 1, Integer::sum);
             JournalService.Row replacement = row(engine, "ready");
-            expectInForce(title, journal.publish(List.of(gone, new JournalService.Row(replacement.engine(), replacement.address(),
+            expectInForce(title, journal.publish(List.of(gone,
+                    new JournalService.Row(replacement.engine(), replacement.address(),
                     replacement.zone(), replacement.kind(), "ready", System.currentTimeMillis()))));
         });
     }
@@ -470,10 +505,14 @@
     private final Map<String, List<long[]>> eventsByTitle = new TreeMap<>();
 
     private void expectInForce(String title, int eventNumber, long publishedNanos) {
-        eventsByTitle.computeIfAbsent(title, k -> new ArrayList<>()).add(new long[] {eventNumber, publishedNanos});
+        eventsByTitle.computeIfAbsent(title, k -> new ArrayList<>())
+                .add(new long[] {eventNumber, publishedNanos});
     }
 
-    /** Checks that each event is in force at each hollow front; records the delays of fronts not restarted since. */
+    /**
+     * Checks that each event is in force at each hollow front; records the delays of fronts not restarted
+     * since.
+     */
     private void checkEvents(String title, List<long[]> published) {
         try {
             List<Long> delays = new ArrayList<>();
@@ -481,7 +520,8 @@
             for (long[] event : published) {
                 firstNanos = firstNanos == 0 ? event[1] : firstNanos;
                 for (ChildProcess process : hollowProcesses) {
-                    for (Map.Entry<Integer, String> front : process.executePerFront("force " + event[0]).entrySet()) {
+                    for (Map.Entry<Integer, String> front : process.executePerFront("force " + event[0])
+                            .entrySet()) {
                         long nanos = Long.parseLong(front.getValue());
                         if (nanos == 0) {
                             violations.add(title + ": event " + event[0] + " is not in force at front "
@@ -498,6 +538,7 @@
         }
     }
 
+    /** Records first, median, 99th percentile and last delay, and checks the last one against its limit. */
     private void recordDelays(String title, List<Long> delays, long limitNanos, long sinceNanos) {
         if (delays.isEmpty()) {
             violations.add(title + ": no front reported a time");
@@ -516,6 +557,7 @@
         }
     }
 
+    /** Numbers of fronts, joined by commas, by the process that holds them. */
     private Map<ChildProcess, String> numbersByProcess(Set<Integer> fronts) {
         Map<ChildProcess, String> numbers = new HashMap<>();
         for (int front : fronts) {
@@ -525,8 +567,10 @@
     }
 
     private ChildProcess processOf(int front) {
-        return front < size.realFronts() ? realProcess : hollowProcesses.get(IntStream.range(0, hollowProcesses.size())
-                .filter(index -> front < size.realFronts() + (int) ((long) size.hollowFronts() * (index + 1) / hollowProcesses.size()))
+        return front < size.realFronts() ? realProcess
+                : hollowProcesses.get(IntStream.range(0, hollowProcesses.size())
+                .filter(index -> front < size.realFronts() + (int) ((long) size.hollowFronts() * (index + 1)
+                / hollowProcesses.size()))
                 .findFirst().orElseThrow());
     }
 
@@ -550,20 +594,22 @@
         }
         int eventNumber = journal.lastEventNumber();
         long sinceNanos = System.nanoTime();
-        for (Map.Entry<ChildProcess, String> host : numbersByProcess(fronts).entrySet()) {
-            String readyNanos = host.getKey().execute("revive " + host.getValue());
-            if (host.getKey() == realProcess) {
-                recordDelays(title + " ready real", new ArrayList<>(List.of(Long.parseLong(readyNanos))), READY_WITHIN_NANOS,
+        for (Map.Entry<ChildProcess, String> entry : numbersByProcess(fronts).entrySet()) {
+            String readyNanos = entry.getKey().execute("revive " + entry.getValue());
+            if (entry.getKey() == realProcess) {
+                recordDelays(title + " ready real", new ArrayList<>(List.of(Long.parseLong(readyNanos))),
+                        READY_WITHIN_NANOS,
                         sinceNanos);
             }
         }
         finalChecks.add(() -> {
             try {
                 List<Long> delays = new ArrayList<>();
-                for (ChildProcess host : hollowProcesses) {
-                    host.executePerFront("force " + eventNumber).forEach((front, nanos) -> {
+                for (ChildProcess process : hollowProcesses) {
+                    process.executePerFront("force " + eventNumber).forEach((front, nanos) -> {
                         if (fronts.contains(front)) {
-                            delays.add(nanos.equals("0") ? Long.MAX_VALUE : Long.parseLong(nanos) - sinceNanos);
+                            delays.add(nanos.equals("0") ? Long.MAX_VALUE : Long.parseLong(nanos)
+                                    - sinceNanos);
                         }
                     });
                 }
@@ -587,14 +633,17 @@
             figure(title + " bytes_in_1s", peaks[1]);
             figure(title + " bytes_over_aim", (double) peaks[1] / JOURNAL_BYTES_PER_SECOND);
             if (checkTimes && peaks[0] > MAX_PEAK_RATIO * targetRequests) {
-                violations.add(String.format(Locale.ROOT, "%s: %d requests in 100 ms, pacing aims at %.0f", title,
+                violations.add(String.format(Locale.ROOT, "%s: %d requests in 100 ms, pacing aims at %.0f",
+                        title,
                         peaks[0], targetRequests));
             }
             if (peaks[1] > MAX_PEAK_RATIO * JOURNAL_BYTES_PER_SECOND) {
-                violations.add(title + ": " + peaks[1] + " bytes in 1 s, pacing aims at " + JOURNAL_BYTES_PER_SECOND);
+                violations.add(title + ": " + peaks[1] + " bytes in 1 s, pacing aims at "
+                        + JOURNAL_BYTES_PER_SECOND);
             }
             for (int front : liveFronts()) {
-                if (!restartedSince(front, sinceNanos) && journal.requestsSince(front, sinceNanos).isEmpty()) {
+                if (!restartedSince(front, sinceNanos) && journal.requestsSince(front, sinceNanos)
+                        .isEmpty()) {
                     violations.add(title + ": front " + front + " has not reconnected to the journal");
                 }
             }
@@ -643,8 +692,8 @@
     private void requireHealthy() throws IOException {
         String fault = journal.fault();
         require(fault == null, fault);
-        for (ChildProcess process : processes) {
-            require(process.process.isAlive(), "a child process exited unexpectedly");
+        for (ChildProcess child : processes) {
+            require(child.osProcess.isAlive(), "a child process exited unexpectedly");
         }
     }
 
@@ -700,24 +749,29 @@
             IntStream.range(0, names.length).forEach(k -> figure(names[k], Double.parseDouble(fields[k])));
             long[] counters = Arrays.stream(fields).mapToLong(Long::parseLong).toArray();
             // A client has at most one query open, and may lose it only when its front is killed.
-            long restarted = restartNanos.keySet().stream().filter(front -> front < size.realFronts()).count();
+            long killedFronts = restartNanos.keySet().stream().filter(front -> front < size.realFronts())
+                    .count();
             long openQueries = 2 * counters[0] - Arrays.stream(counters).sum();
-            if (counters[1] == 0 || counters[4] > ChildMain.CLIENTS_PER_FRONT * restarted || counters[5] > 0
+            if (counters[1] == 0 || counters[4] > ChildMain.CLIENTS_PER_FRONT * killedFronts
+                    || counters[5] > 0
                     || openQueries > (long) ChildMain.CLIENTS_PER_FRONT * size.realFronts()) {
-                violations.add("real fronts: " + String.join(", ", names) + " are " + String.join(", ", fields));
+                violations.add("real fronts: " + String.join(", ", names) + " are "
+                        + String.join(", ", fields));
             }
         }
         double changesPerSecond = journal.lastEventNumber() / seconds;
         String run = Slopes.commit() + " bench/scale " + timetableFile.getFileName() + " --seed " + seed;
         List<Figures.Figure> rows = figures.entrySet().stream().map(f -> new Figures.Figure(run, f.getKey(),
-                unit(f.getKey()), size.fronts(), size.engines(), HOLLOW_QUERIES_PER_SECOND, 0, changesPerSecond, 1, f.getValue()))
+                unit(f.getKey()), size.fronts(), size.engines(), HOLLOW_QUERIES_PER_SECOND, 0,
+                changesPerSecond, 1, f.getValue()))
                 .toList();
         String keyFigures = figures.entrySet().stream().filter(f -> f.getKey().endsWith("_last")
                 || f.getKey().startsWith("hollow") || f.getKey().startsWith("real")
                 || f.getKey().endsWith("over_aim")).map(f -> f.getKey() + "="
                         + String.format(Locale.ROOT, "%.4g", f.getValue())).collect(Collectors.joining(" "));
         return new Result(rows, "fronts=" + size.fronts() + " real=" + size.realFronts() + " engines="
-                + size.engines() + " seed=" + seed + " broken=" + violations.size() + " " + keyFigures, violations);
+                + size.engines() + " seed=" + seed + " broken=" + violations.size() + " " + keyFigures,
+                violations);
     }
 
     private static String unit(String name) {
@@ -735,8 +789,8 @@
         journal.close();
         reloadExecutor.shutdown();
         try (Stream<Path> files = Files.list(directory)) {
-            for (Path process : files.toList()) {
-                Files.delete(process);
+            for (Path file : files.toList()) {
+                Files.delete(file);
             }
         }
         Files.delete(directory);
--- a/src/rig/java/reedspring/rig/scale/Slopes.java
+++ b/src/rig/java/reedspring/rig/scale/Slopes.java
@@ -17,9 +17,9 @@
 
 /**
  * Measures the cost of each factor with the others fixed: the decisions of one front, the parsing of journal
- * events, and a front process by its connections and its queries. Each part runs in its own JVM with the flags
- * and memory sizes of the deployment's start command, on one thread whose CPU time is measured. A part that
- * exceeds its time limit is ended, and a figure records which measurement it was in.
+ * events, and a front process by its connections and its queries. Each part runs in its own JVM with the
+ * flags and memory sizes of the deployment's start command, on one thread whose CPU time is measured. A part
+ * that exceeds its time limit is ended, and a figure records which measurement it was in.
  */
 public final class Slopes {
     public static final int MEMORY_MB = 256;
@@ -34,7 +34,8 @@
     private static final long MEASURE_NANOS = 150_000_000;
     private static final long TIME_LIMIT_S = 150;
     private static final int TIME_LIMIT_EXIT_STATUS = 3;
-    private static final Pattern JVM_FLAGS_PATTERN = Pattern.compile("exec \\$e java (.*?) -XX:SharedArchiveFile");
+    private static final Pattern JVM_FLAGS_PATTERN =
+            Pattern.compile("exec \\$e java (.*?) -XX:SharedArchiveFile");
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
     private final String run;
@@ -43,7 +44,7 @@
     private final Path file;
     private final List<Figure> figures = new ArrayList<>();
     /** A field, so that it can be cleared before the heap is measured. */
-    private ControlDriver front;
+    private ControlDriver controlDriver;
     private volatile String currentFigure = "start";
     private volatile int engines;
     private volatile int fronts = FRONTS;
@@ -62,7 +63,8 @@
             throws IOException, InterruptedException {
         String run = commit() + " bench/scale --slopes --seed " + seed + (shortRun ? " --short" : "");
         List<Figure> all = new ArrayList<>();
-        for (String partName : List.of("known", "journal", "rates", "engines", "sockets", "large", "largest")) {
+        for (String partName : List.of("known", "journal", "rates", "engines", "sockets", "large",
+                "largest")) {
             if (part != null ? !part.equals(partName) : shortRun && partName.startsWith("large")) {
                 continue;
             }
@@ -73,12 +75,14 @@
             command.add(ProcessHandle.current().info().command().orElse("java"));
             // The part sockets only holds clients and engines; its front is a process with its own sizes.
             command.addAll(partName.equals("sockets") ? List.of() : jvmFlags());
-            command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(), partName,
+            command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(),
+                    partName,
                     run, Long.toString(seed), Boolean.toString(shortRun), file.toString()));
             Process child = new ProcessBuilder(command).redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.INHERIT).start();
             try {
-                Rig.require(child.waitFor(2 * TIME_LIMIT_S, TimeUnit.SECONDS), partName + " did not end in time");
+                Rig.require(child.waitFor(2 * TIME_LIMIT_S, TimeUnit.SECONDS), partName
+                        + " did not end in time");
                 Rig.require(child.exitValue() == 0 || child.exitValue() == TIME_LIMIT_EXIT_STATUS,
                         partName + " exited with status " + child.exitValue());
             } finally {
@@ -110,8 +114,8 @@
     }
 
     /**
-     * {@code --out DIR [--seed N] [--short] [PART]}, like bench/scale --slopes; or, in the child JVM of one part:
-     * its name, the name of the run, the seed, whether the run is short, and the file for the figures.
+     * {@code --out DIR [--seed N] [--short] [PART]}, like bench/scale --slopes; or, in the child JVM of one
+     * part: its name, the name of the run, the seed, whether the run is short, and the file for the figures.
      */
     public static void main(String[] args) throws Exception {
         if (args.length > 1 && args[0].equals("--out")) {
@@ -122,7 +126,8 @@
                 arguments.subList(seedIndex, seedIndex + 2).clear();
             }
             boolean shortRun = arguments.remove("--short");
-            List<Figure> all = measure(Path.of(args[1]), seed, shortRun, arguments.isEmpty() ? null : arguments.get(0));
+            List<Figure> all = measure(Path.of(args[1]), seed, shortRun, arguments.isEmpty() ? null
+                    : arguments.get(0));
             System.out.println("figures=" + all.size() + " charts="
                     + SlopeCharts.writeByEngines(all, Path.of(args[1])).size());
             return;
@@ -149,7 +154,7 @@
             try {
                 TimeUnit.SECONDS.sleep(TIME_LIMIT_S);
                 long cpuNanos = THREADS.getThreadCpuTime(threadId) - currentFigureStartNanos;
-                record(currentFigure + "_cut_off", "s", 0, 0, cpuNanos / 1e9);
+                recordFigure(currentFigure + "_cut_off", "s", 0, 0, cpuNanos / 1e9);
             } catch (IOException | InterruptedException e) {
                 System.err.println("slopes: " + e);
             }
@@ -159,12 +164,15 @@
         watchdog.start();
     }
 
-    private synchronized void record(String figure, String unit, double queriesPerSecond, int connections,
+    private synchronized void recordFigure(String figure, String unit, double queriesPerSecond,
+            int connections,
             double value) throws IOException {
-        figures.add(new Figure(run, figure, unit, fronts, engines, Math.rint(queriesPerSecond), connections, 0,
+        figures.add(new Figure(run, figure, unit, fronts, engines, Math.rint(queriesPerSecond), connections,
+                0,
                 repeat, value));
         Figures.write(file, figures);
-        System.err.println("  " + figure + " " + engines + " engines, " + fronts + " fronts, " + queriesPerSecond
+        System.err.println("  " + figure + " " + engines + " engines, " + fronts + " fronts, "
+                + queriesPerSecond
                 + "/s, " + connections + " connections: " + value + " " + unit);
     }
 
@@ -172,7 +180,10 @@
         return THREADS.getCurrentThreadCpuTime();
     }
 
-    /** Mean CPU time of a call in nanoseconds, after a warm-up, over at least {@link #ENOUGH_NANOS} or the most calls. */
+    /**
+     * Mean CPU time of a call in nanoseconds, after a warm-up, over at least {@link #MEASURE_NANOS} or {@code
+     * maxCalls} calls.
+     */
     private double cpuNanosPerCall(String figure, int maxCalls, Runnable call) {
         beginFigure(figure);
         long warmUpEnd = cpuNanos() + WARM_UP_NANOS;
@@ -203,15 +214,19 @@
     private void measureFullList(String figure) throws IOException {
         beginFigure(figure);
         long startNanos = cpuNanos();
-        front.deliverFullList();
-        record(figure, "ms", 0, 0, (cpuNanos() - startNanos) / 1e6);
+        controlDriver.deliverFullList();
+        recordFigure(figure, "ms", 0, 0, (cpuNanos() - startNanos) / 1e6);
     }
 
     private void measureEvents(int maxCalls) throws IOException {
-        record("control_query", "us", 0, 0, cpuNanosPerCall("control_query", maxCalls, front::runShortQuery) / 1e3);
-        record("control_pulse", "us", 0, 0, cpuNanosPerCall("control_pulse", maxCalls, front::firePulse) / 1e3);
-        record("control_report", "us", 0, 0, cpuNanosPerCall("control_report", maxCalls, front::deliverLoadReport) / 1e3);
-        record("control_row", "us", 0, 0, cpuNanosPerCall("control_row", maxCalls, front::deliverRowChange) / 1e3);
+        recordFigure("control_query", "us", 0, 0, cpuNanosPerCall("control_query", maxCalls,
+                controlDriver::runShortQuery) / 1e3);
+        recordFigure("control_pulse", "us", 0, 0, cpuNanosPerCall("control_pulse", maxCalls,
+                controlDriver::firePulse) / 1e3);
+        recordFigure("control_report", "us", 0, 0, cpuNanosPerCall("control_report", maxCalls,
+                controlDriver::deliverLoadReport) / 1e3);
+        recordFigure("control_row", "us", 0, 0, cpuNanosPerCall("control_row", maxCalls,
+                controlDriver::deliverRowChange) / 1e3);
     }
 
     private int repeatCount() {
@@ -219,29 +234,29 @@
     }
 
     private void warmUp() {
-        ControlDriver front = new ControlDriver(seed, 12, 160, TOTAL_QUERIES_PER_SECOND);
+        ControlDriver controlDriver = new ControlDriver(seed, 12, 160, TOTAL_QUERIES_PER_SECOND);
         for (int k = 0; k < 40; k++) {
-            front.deliverFullList();
+            controlDriver.deliverFullList();
         }
         for (int k = 0; k < 3_000; k++) {
-            front.runShortQuery();
-            front.firePulse();
-            front.deliverLoadReport();
-            front.deliverRowChange();
+            controlDriver.runShortQuery();
+            controlDriver.firePulse();
+            controlDriver.deliverLoadReport();
+            controlDriver.deliverRowChange();
         }
     }
 
     private void measureControl(int engineCount, int frontCount, int maxCalls) throws IOException {
         engines = engineCount;
         fronts = frontCount;
-        front = null;
+        controlDriver = null;
         double heapBefore = heapMb();
-        front = new ControlDriver(seed + repeat, frontCount, engineCount, TOTAL_QUERIES_PER_SECOND);
+        controlDriver = new ControlDriver(seed + repeat, frontCount, engineCount, TOTAL_QUERIES_PER_SECOND);
         measureFullList("control_list_first");
         measureEvents(maxCalls);
         // Includes what the front has recorded about engines and queries meanwhile.
-        record("control_heap", "MB", 0, 0, heapMb() - heapBefore);
-        Rig.require(front.submitCount() > 1, "no query was submitted");
+        recordFigure("control_heap", "MB", 0, 0, heapMb() - heapBefore);
+        Rig.require(controlDriver.submitCount() > 1, "no query was submitted");
         // Last, since it may exceed the time limit of the part.
         measureFullList("control_list_again");
     }
@@ -284,15 +299,19 @@
         fronts = 4;
         for (double rate : new double[] {20, 200, 1_694, 6_800}) {
             for (repeat = 1; repeat <= repeatCount(); repeat++) {
-                ControlDriver front = new ControlDriver(seed + repeat, fronts, engines, TOTAL_QUERIES_PER_SECOND);
-                front.deliverFullList();
+                ControlDriver controlDriver = new ControlDriver(seed + repeat, fronts, engines,
+                        TOTAL_QUERIES_PER_SECOND);
+                controlDriver.deliverFullList();
                 for (int k = 0; k < rate; k++) {
-                    front.runQueryAtRate(rate);
+                    controlDriver.runQueryAtRate(rate);
                 }
-                double nanosPerQuery = cpuNanosPerCall("control_query", 20_000, () -> front.runQueryAtRate(rate)) / 1e3;
-                Rig.require(front.openQueryCount() >= rate / 20 - 1, front.openQueryCount() + " queries open at a rate of " + rate);
-                record("control_query", "us", rate, 0, nanosPerQuery);
-                record("control_pulse", "us", rate, 0, cpuNanosPerCall("control_pulse", 20_000, front::firePulse) / 1e3);
+                double nanosPerQuery = cpuNanosPerCall("control_query", 20_000, () ->
+                        controlDriver.runQueryAtRate(rate)) / 1e3;
+                Rig.require(controlDriver.openQueryCount() >= rate / 20 - 1, controlDriver.openQueryCount()
+                        + " queries open at a rate of " + rate);
+                recordFigure("control_query", "us", rate, 0, nanosPerQuery);
+                recordFigure("control_pulse", "us", rate, 0,
+                        cpuNanosPerCall("control_pulse", 20_000, controlDriver::firePulse) / 1e3);
             }
         }
     }
@@ -302,10 +321,10 @@
         int maxEventBytes = JournalReading.most();
         fronts = 0;
         engines = 0;
-        record("journal_event_bound", "B", 0, 0, maxEventBytes);
+        recordFigure("journal_event_bound", "B", 0, 0, maxEventBytes);
         for (int sockets : new int[] {1_024, 4_096, 16_384}) {
             for (String resource : List.of("clients", "engines", "queries")) {
-                record("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0,
+                recordFigure("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0,
                         JournalReading.holds(sockets, MEMORY_MB).get(resource));
             }
         }
@@ -318,16 +337,18 @@
             byte[] event = ControlDriver.fullListEvent(size);
             for (repeat = 1; repeat <= repeatCount(); repeat++) {
                 beginFigure("journal_event_cpu");
-                record("journal_event", "B", 0, 0, event.length);
-                record("journal_event_taken", "rows", 0, 0, Math.max(0, reading.read(event, maxEventBytes)));
+                recordFigure("journal_event", "B", 0, 0, event.length);
+                recordFigure("journal_event_taken", "rows", 0, 0,
+                        Math.max(0, reading.read(event, maxEventBytes)));
                 long allocatedBefore = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
-                Rig.require(reading.read(event, Integer.MAX_VALUE) == size, "not all rows of the event were read");
-                record("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
+                Rig.require(reading.read(event, Integer.MAX_VALUE) == size,
+                        "not all rows of the event were read");
+                recordFigure("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
                         Thread.currentThread().getId()) - allocatedBefore) / 1e6);
                 double heapWithEvent = heapMb();
                 reading.forget();
-                record("journal_event_heap", "MB", 0, 0, heapWithEvent - heapMb());
-                record("journal_event_cpu", "ms", 0, 0, cpuNanosPerCall("journal_event_cpu", 2_000,
+                recordFigure("journal_event_heap", "MB", 0, 0, heapWithEvent - heapMb());
+                recordFigure("journal_event_cpu", "ms", 0, 0, cpuNanosPerCall("journal_event_cpu", 2_000,
                         () -> reading.read(event, Integer.MAX_VALUE)) / 1e6);
                 reading.read(smallEvent, Integer.MAX_VALUE);
             }
@@ -346,8 +367,8 @@
                 front.connect(connections);
                 for (repeat = 1; repeat <= repeatCount(); repeat++) {
                     MeasuredFront.Usage usage = front.measureIdle(1_500);
-                    record("front_idle_cpu", "core", 0, connections, usage.cores());
-                    record("front_idle_memory", "MB", 0, connections, usage.memoryMb());
+                    recordFigure("front_idle_cpu", "core", 0, connections, usage.cores());
+                    recordFigure("front_idle_memory", "MB", 0, connections, usage.memoryMb());
                 }
             }
         }
@@ -358,8 +379,8 @@
             for (int rate : shortRun ? new int[] {100, 400} : new int[] {100, 200, 400, 800}) {
                 for (repeat = 1; repeat <= repeatCount(); repeat++) {
                     MeasuredFront.Usage usage = front.measureServing(rate, 2_000);
-                    record("front_busy_cpu", "core", usage.queriesPerSecond(), 64, usage.cores());
-                    record("front_busy_memory", "MB", usage.queriesPerSecond(), 64, usage.memoryMb());
+                    recordFigure("front_busy_cpu", "core", usage.queriesPerSecond(), 64, usage.cores());
+                    recordFigure("front_busy_memory", "MB", usage.queriesPerSecond(), 64, usage.memoryMb());
                 }
             }
             for (int connections : shortRun ? new int[] {64} : new int[] {64, 256, 1_000, 2_000}) {
@@ -367,7 +388,8 @@
                 front.measureServing(200, 500);
                 for (repeat = 1; repeat <= repeatCount(); repeat++) {
                     MeasuredFront.Usage usage = front.measureServing(200, 2_000);
-                    record("front_by_connections_cpu", "core", usage.queriesPerSecond(), connections, usage.cores());
+                    recordFigure("front_by_connections_cpu", "core", usage.queriesPerSecond(), connections,
+                            usage.cores());
                 }
             }
         }
--- a/src/test/java/reedspring/rig/scale/FiguresTest.java
+++ b/src/test/java/reedspring/rig/scale/FiguresTest.java
@@ -53,7 +53,8 @@
         assertReadFails("", 1, "run: the file is empty");
         assertReadFails("run,figure,unit\n", 1, "fronts: the columns have to be " + HEADER.trim());
         assertReadFails(HEADER + "r,f,us,1,1,0,0,0,1\n", 2, "value: 9 fields instead of 10");
-        assertReadFails(HEADER + "r,f,us,1,1,0,0,0,1,2\nr,f,us,1,x,0,0,0,1,2\n", 3, "engines: 'x' is not a count");
+        assertReadFails(HEADER + "r,f,us,1,1,0,0,0,1,2\nr,f,us,1,x,0,0,0,1,2\n", 3,
+                "engines: 'x' is not a count");
         assertReadFails(HEADER + "r,f,us,-1,1,0,0,0,1,2\n", 2, "fronts: '-1' is not a count");
         assertReadFails(HEADER + "\"r\nr\",f,us,1,1,0,0,0,1,2\nr,f,us,1,1,-2,0,0,1,2\n", 4,
                 "queries_per_second: '-2' is not a rate");
--- a/src/test/java/reedspring/rig/scale/FitTest.java
+++ b/src/test/java/reedspring/rig/scale/FitTest.java
@@ -14,7 +14,9 @@
 class FitTest {
     private static final double[] SIZES = {40, 160, 400, 1_000, 2_500};
 
-    /** A power law is recovered from exact points; with scattered points the residual is at most the scatter. */
+    /**
+     * A power law is recovered from exact points; with scattered points the residual is at most the scatter.
+     */
     @Property(seed = "36", tries = 200)
     void aPowerLawIsRecoveredFromScatteredPoints(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/reedspring/rig/scale/JournalServiceTest.java
+++ b/src/test/java/reedspring/rig/scale/JournalServiceTest.java
@@ -31,7 +31,8 @@
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(),
                     Integer.parseInt(address.substring(address.indexOf(':') + 1))));
             socket.setSoTimeout((int) Rig.PATIENCE_S * 1000);
-            socket.getOutputStream().write(("GET /journal HTTP/1.1\r\nHost: x\r\nLast-Event-ID: " + lastEventId
+            socket.getOutputStream().write(("GET /journal HTTP/1.1\r\nHost: x\r\nLast-Event-ID: "
+                    + lastEventId
                     + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                     StandardCharsets.US_ASCII), 4_096);
@@ -51,14 +52,18 @@
             }
         }
 
-        /** Reads up to the event with that number; requires that no change is skipped, and returns the event count. */
+        /**
+         * Reads up to the event with that number; requires that no change is skipped, and returns the event
+         * count.
+         */
         private int readTo(int number) throws IOException {
             int events = 0;
             for (int lastNumber = -1; lastNumber < number; events++) {
                 String[] event = nextEvent();
                 boolean complete = event[1].contains("\"whole\":true");
                 int eventNumber = Integer.parseInt(event[0]);
-                assertTrue(complete && eventNumber > lastNumber || eventNumber == lastNumber + 1, "event " + eventNumber + " after " + lastNumber);
+                assertTrue(complete && eventNumber > lastNumber || eventNumber == lastNumber + 1, "event "
+                        + eventNumber + " after " + lastNumber);
                 lastNumber = eventNumber;
             }
             return events;
@@ -81,18 +86,21 @@
             service.publish(IntStream.range(0, ENGINES).mapToObj(k -> row(k, "ready")).toList());
             String slowAddress = service.addWatcher().get(0);
             String fastAddress = service.addWatcher().get(1);
-            try (TestWatcher slowReader = new TestWatcher(slowAddress, 0); TestWatcher fastReader = new TestWatcher(fastAddress, 0)) {
-                Rig.await("the slow watcher's call", () -> !service.requestsSince(0, 0).isEmpty());
+            try (TestWatcher slowReader = new TestWatcher(slowAddress, 0); TestWatcher fastReader =
+                    new TestWatcher(fastAddress, 0)) {
+                Rig.await("the request of the slow watcher", () -> !service.requestsSince(0, 0).isEmpty());
                 for (int k = 0; k < CHANGES; k++) {
                     service.publish(List.of(row(k, "draining")));
                 }
                 int events = fastReader.readTo(CHANGES + 1);
-                assertTrue(fastReader.readChars > 3 << 20, "a whole list of " + fastReader.readChars);
+                assertTrue(fastReader.readChars > 3 << 20, "characters read of the complete list: "
+                        + fastReader.readChars);
                 // The fast watcher got the changes one by one; the slow one has read nothing yet.
-                assertTrue(events >= 1 && service.upToDateWatchers().equals(Set.of(1)), "in step: " + service.upToDateWatchers());
+                assertTrue(events >= 1 && service.upToDateWatchers().equals(Set.of(1)), "up to date: "
+                        + service.upToDateWatchers());
                 assertEquals(1, service.counts()[0][0], "one event waits for the slow one");
                 slowReader.readTo(CHANGES + 1);
-                Rig.await("both in step", () -> service.upToDateWatchers().equals(Set.of(0, 1)));
+                Rig.await("both watchers up to date", () -> service.upToDateWatchers().equals(Set.of(0, 1)));
             }
             assertEquals(null, service.fault());
         }
@@ -122,11 +130,13 @@
                 });
             }
             service.setUnavailable(false);
-            try (TestWatcher resumed = new TestWatcher(address, 3); TestWatcher fromStart = new TestWatcher(address, 0)) {
+            try (TestWatcher resumed = new TestWatcher(address, 3); TestWatcher fromStart =
+                    new TestWatcher(address, 0)) {
                 service.publish(List.of(row(2, "ready")));
                 assertEquals("4", resumed.nextEvent()[0]);
                 String[] fullList = fromStart.nextEvent();
-                assertTrue(fullList[1].contains("\"whole\":true") && !fullList[1].contains("s-1\""), fullList[1]);
+                assertTrue(fullList[1].contains("\"whole\":true") && !fullList[1].contains("s-1\""),
+                        fullList[1]);
             }
         }
     }
--- a/src/test/java/reedspring/rig/scale/PageTest.java
+++ b/src/test/java/reedspring/rig/scale/PageTest.java
@@ -20,7 +20,10 @@
                 Page.publishedTables(Files.readString(Path.of("docs/CAPACITY.md"))));
     }
 
-    /** Quadratic cost of lists, linear cost of all else, at two sizes: extrapolated by 2.5 from 10,000 engines. */
+    /**
+     * Quadratic cost of lists, linear cost of all else, at two sizes: extrapolated by 2.5 from 10,000
+     * engines.
+     */
     @Example
     void figuresAreExtrapolatedByThePowerLaw() {
         String tables = Page.tables(sampleFigures());
@@ -58,7 +61,8 @@
     @Example
     void numbersHaveThreeSignificantDigits() {
         assertEquals(List.of("0", "9.85", "1,694", "0.0625", "25,000", "7", "1.23e-07"),
-                List.of(Page.formatNumber(0), Page.formatNumber(9.8512), Page.formatNumber(1694.44), Page.formatNumber(0.0625),
+                List.of(Page.formatNumber(0), Page.formatNumber(9.8512), Page.formatNumber(1694.44),
+                Page.formatNumber(0.0625),
                         Page.formatNumber(25_000), Page.formatNumber(7), Page.formatNumber(1.234e-7)));
     }
 
@@ -84,7 +88,8 @@
         figures.add(figure("journal_event_bound", "B", 0, 0, 0, 0, 1 << 20));
         for (int sockets : new int[] {1_024, 4_096}) {
             for (String resource : List.of("clients", "engines")) {
-                figures.add(figure("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0, 0, 0,
+                figures.add(figure("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0,
+                        0, 0,
                         sockets / 2));
             }
         }
--- a/src/test/java/reedspring/rig/scale/ScaleIT.java
+++ b/src/test/java/reedspring/rig/scale/ScaleIT.java
@@ -21,7 +21,8 @@
 
     @Example
     void aSmallRunViolatesNoRule() throws Exception {
-        try (ScaleRun run = new ScaleRun(Timetable.read(TIMETABLE), TIMETABLE, new Scale.Size(24, 20, 2), 1, false)) {
+        try (ScaleRun run = new ScaleRun(Timetable.read(TIMETABLE), TIMETABLE, new Scale.Size(24, 20, 2), 1,
+                false)) {
             ScaleRun.Result result = run.play();
             System.out.println(result.summary());
             assertEquals(List.of(), result.violations());
@@ -49,7 +50,7 @@
     }
 
     private static void assertNothingIsLeft(List<ProcessHandle> children, Path directory) throws Exception {
-        assertTrue(children.size() >= 5, "hosts and two fronts: " + children.size());
+        assertTrue(children.size() >= 5, "child processes and two fronts: " + children.size());
         Rig.await("the end of all its processes", () -> children.stream().noneMatch(ProcessHandle::isAlive));
         try (Stream<Path> remaining = Files.list(directory)) {
             assertEquals(List.of(), remaining.toList());
@@ -87,7 +88,8 @@
 
     @Example
     void aMachineThatIsTooSmallIsReported() {
-        assertTrue(new Scale.Size(1_000_000, 100, 8).lackingResource().matches("[0-9]+ descriptors are needed .*"));
+        assertTrue(new Scale.Size(1_000_000, 100, 8).lackingResource()
+                .matches("[0-9]+ descriptors are needed .*"));
         assertTrue(new Scale.Size(3_600, 25_000, 8).lackingResource().matches("[0-9]+ MB are needed .*"));
         assertEquals(null, new Scale.Size(24, 20, 2).lackingResource());
     }
