--- a/src/rig/java/reedspring/rig/scale/ChildMain.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -192,8 +192,7 @@
                         timetable.mix().needMb(group, random), Terms.leavesMs(timetable, group));
             };
             fronts.put(front, new HollowFront(loops.get(front % loops.size()),
-                    configurationFile(directory, front, "a"), queriesPerSecond,
-                    queryGenerator));
+                    configurationFile(directory, front, "a"), queriesPerSecond, queryGenerator));
         }
 
         @Override
@@ -225,8 +224,8 @@
                 return "";
             } else if (words[0].equals("sent")) {
                 int engine = Integer.parseInt(words[1]);
-                return group.submit(() -> formatPairs(lastQueryNanos.getOrDefault(engine, Map.of()), nanos ->
-                        nanos)).get();
+                return group.submit(() -> formatPairs(lastQueryNanos.getOrDefault(engine, Map.of()),
+                        nanos -> nanos)).get();
             }
             return Long.toString(answeredQueries.get());
         }
--- a/src/rig/java/reedspring/rig/scale/ControlDriver.java
+++ b/src/rig/java/reedspring/rig/scale/ControlDriver.java
@@ -95,8 +95,8 @@
         lastSubmitted = null;
         deliver(new Event.Taken(new Id.Query(++lastId), new Id.Group(0), new Id.Tenant(0), Id.DataSet.UNKNOWN,
                 workTicks, 1, now + 5 * TICKS_PER_SECOND, null));
-        Rig.require(lastSubmitted != null && lastSubmitted.query().value() == lastId, "query " + lastId
-                + " was not submitted");
+        Rig.require(lastSubmitted != null && lastSubmitted.query().value() == lastId,
+                "query " + lastId + " was not submitted");
         openQueries.add(lastSubmitted.query());
     }
 
--- a/src/rig/java/reedspring/rig/scale/Figures.java
+++ b/src/rig/java/reedspring/rig/scale/Figures.java
@@ -44,8 +44,8 @@
         Files.createDirectories(target.getParent());
         Path temporary = Files.createTempFile(target.getParent(), target.getFileName() + ".", ".part");
         try {
-            try (Writer writer = Files.newBufferedWriter(temporary); CSVPrinter csv =
-                    new CSVPrinter(writer, FORMAT)) {
+            try (Writer writer = Files.newBufferedWriter(temporary);
+                    CSVPrinter csv = new CSVPrinter(writer, FORMAT)) {
                 csv.printRecord(COLUMNS);
                 for (Figure figure : figures) {
                     if (figure.run().isBlank() || figure.figure().isBlank() || figure.unit().isBlank()
@@ -53,8 +53,7 @@
                         throw new IllegalArgumentException("figure can't be stored: " + figure);
                     }
                     csv.printRecord(figure.run(), figure.figure(), figure.unit(), figure.fronts(),
-                            figure.engines(),
-                            formatNumber(figure.queriesPerSecond()), figure.connections(),
+                            figure.engines(), formatNumber(figure.queriesPerSecond()), figure.connections(),
                             formatNumber(figure.changesPerSecond()),
                             figure.repeat(), formatNumber(figure.value()));
                 }
--- a/src/rig/java/reedspring/rig/scale/InForceChart.java
+++ b/src/rig/java/reedspring/rig/scale/InForceChart.java
@@ -33,8 +33,8 @@
         for (Figures.Figure figure : figures) {
             int separator = figure.figure().lastIndexOf('_');
             if (separator > 0 && RANKS.contains(figure.figure().substring(separator + 1))) {
-                valuesByEvent.computeIfAbsent(figure.figure().substring(0, separator).replace('_', ' '), k ->
-                        new TreeMap<>())
+                valuesByEvent.computeIfAbsent(figure.figure().substring(0, separator).replace('_', ' '),
+                        k -> new TreeMap<>())
                         .put(figure.figure().substring(separator + 1), figure.value());
             }
         }
--- a/src/rig/java/reedspring/rig/scale/JournalService.java
+++ b/src/rig/java/reedspring/rig/scale/JournalService.java
@@ -46,8 +46,8 @@
  * <p>Pending events are sent round robin, one event per connection and turn, within a byte rate for all
  * connections together. A slow reader is skipped while its socket is full: at most one event is queued for
  * it, and once it is more than {@link #KEPT_EVENTS} events behind it gets the complete list again. Complete
- * lists are built at most once a second and shared. A connection that reads nothing for {@link
- * #STALL_TIMEOUT_S} seconds is closed.
+ * lists are built at most once a second and shared. A connection that reads nothing for
+ * {@link #STALL_TIMEOUT_S} seconds is closed.
  */
 final class JournalService implements Closeable {
     static final int ADDRESSES_PER_WATCHER = 2;
@@ -327,8 +327,8 @@
         boolean gone = row.health.equals("gone");
         String previousJson = gone ? rows.remove(row.engine) : rows.put(row.engine, row.toJson());
         digest += (gone ? 0 : digest(row.engine, row.health.equals("ready")))
-                - (previousJson == null ? 0 : digest(row.engine,
-                previousJson.contains("\"health\":\"ready\"")));
+                - (previousJson == null ? 0
+                : digest(row.engine, previousJson.contains("\"health\":\"ready\"")));
     }
 
     private static long digest(String engine, boolean up) {
--- a/src/rig/java/reedspring/rig/scale/Page.java
+++ b/src/rig/java/reedspring/rig/scale/Page.java
@@ -49,8 +49,7 @@
     private final List<String> missingFigures = new ArrayList<>();
 
     private record Need(String role, String subject, String calculation, double need, double budget,
-            String unit,
-            String basis) {
+            String unit, String basis) {
         private double ratio() {
             return need / budget;
         }
@@ -121,9 +120,8 @@
         }
         double exponent = fit(summaries, true).slope();
         return new Estimate(largestMedian * Math.pow(TARGET_ENGINES / largestSize, exponent),
-                String.format(Locale.ROOT,
-                "%s times past %s engines, by x^%.2f", formatNumber(TARGET_ENGINES / largestSize),
-                formatNumber(largestSize), exponent));
+                String.format(Locale.ROOT, "%s times past %s engines, by x^%.2f",
+                        formatNumber(TARGET_ENGINES / largestSize), formatNumber(largestSize), exponent));
     }
 
     private double singleValue(String name, String unit) {
--- a/src/rig/java/reedspring/rig/scale/ScaleRun.java
+++ b/src/rig/java/reedspring/rig/scale/ScaleRun.java
@@ -259,8 +259,8 @@
                         changeNanos.add(now);
                         reloadAll(configurationSuffix);
                         if (last) {
-                            figure(entry.title() + " made_in_s", (System.nanoTime() - firstChangeNanos)
-                                    / 1e9);
+                            figure(entry.title() + " made_in_s",
+                                    (System.nanoTime() - firstChangeNanos) / 1e9);
                         }
                         if (last || checkEach) {
                             checkConfigured(entry.title() + (checkEach ? " " + number : ""), now);
@@ -366,8 +366,9 @@
                 List<long[]> requests = journal.requestsSince(front, sinceNanos);
                 long connectedNanos = 0;
                 for (long[] request : requests) {
-                    connectedNanos = request[1] >= nextChangeNanos ? connectedNanos : request[0] !=
-                            expectedIndex ? 0 : connectedNanos == 0 ? request[1] : connectedNanos;
+                    connectedNanos = request[1] >= nextChangeNanos ? connectedNanos
+                            : request[0] != expectedIndex ? 0
+                            : connectedNanos == 0 ? request[1] : connectedNanos;
                 }
                 if (downFronts.contains(front) || restartedSince(front, sinceNanos)) {
                     continue;
@@ -404,8 +405,8 @@
             }
             Set<Integer> rejecting = new HashSet<>();
             for (ChildProcess process : frontProcesses()) {
-                process.executePerFront("logged configuration_can't_be_used,_nothing_changed:_limits.sockets").forEach(
-                        (front, count) -> {
+                process.executePerFront("logged configuration_can't_be_used,_nothing_changed:_limits.sockets")
+                        .forEach((front, count) -> {
                             if (!count.equals("0")) {
                                 rejecting.add(front);
                             }
@@ -569,8 +570,8 @@
     private ChildProcess processOf(int front) {
         return front < size.realFronts() ? realProcess
                 : hollowProcesses.get(IntStream.range(0, hollowProcesses.size())
-                .filter(index -> front < size.realFronts() + (int) ((long) size.hollowFronts() * (index + 1)
-                / hollowProcesses.size()))
+                .filter(index -> front < size.realFronts()
+                        + (int) ((long) size.hollowFronts() * (index + 1) / hollowProcesses.size()))
                 .findFirst().orElseThrow());
     }
 
@@ -608,8 +609,8 @@
                 for (ChildProcess process : hollowProcesses) {
                     process.executePerFront("force " + eventNumber).forEach((front, nanos) -> {
                         if (fronts.contains(front)) {
-                            delays.add(nanos.equals("0") ? Long.MAX_VALUE : Long.parseLong(nanos)
-                                    - sinceNanos);
+                            delays.add(nanos.equals("0") ? Long.MAX_VALUE
+                                    : Long.parseLong(nanos) - sinceNanos);
                         }
                     });
                 }
@@ -642,8 +643,8 @@
                         + JOURNAL_BYTES_PER_SECOND);
             }
             for (int front : liveFronts()) {
-                if (!restartedSince(front, sinceNanos) && journal.requestsSince(front, sinceNanos)
-                        .isEmpty()) {
+                if (!restartedSince(front, sinceNanos)
+                        && journal.requestsSince(front, sinceNanos).isEmpty()) {
                     violations.add(title + ": front " + front + " has not reconnected to the journal");
                 }
             }
