--- a/src/rig/java/reedspring/rig/scale/ScaleRun.java
+++ b/src/rig/java/reedspring/rig/scale/ScaleRun.java
@@ -356,7 +356,7 @@
      */
     private void checkConfigured(String title, long sinceNanos) {
         int expectedIndex = configurationSuffix.equals("a") ? 0 : 1;
-        log(title + ": configuration written");
+        log(title + ": configuration reload triggered");
         Set<Integer> fronts = liveFronts();
         finalChecks.add(() -> {
             List<Long> delays = new ArrayList<>();
@@ -393,7 +393,7 @@
     /** Checks that all fronts reject the invalid configuration, log the field, and keep the old one. */
     private void checkRejected(String title, long sinceNanos) {
         Set<Integer> fronts = liveFronts();
-        log(title + ": invalid configuration written");
+        log(title + ": reload of an invalid configuration triggered");
         Map<Integer, Long> indexBefore = new HashMap<>();
         fronts.forEach(front -> indexBefore.put(front, lastAddressIndex(front)));
         schedule((sinceNanos - startNanos) / 100_000 + 30_000, () -> {
@@ -447,7 +447,7 @@
         JournalService.Row replacement = row(engine, "ready");
         int eventNumber = journal.publish(List.of(old, replacement));
         long publishedNanos = System.nanoTime();
-        log(title + ": " + old.engine() + " drains, replaced by " + replacement.engine());
+        log(title + ": " + old.engine() + " drains, " + replacement.engine() + " replaces it");
         expectInForce(title, eventNumber, publishedNanos);
         schedule((publishedNanos - startNanos + GONE_AFTER_NANOS) / 100_000, () ->
                 journal.publish(List.of(new JournalService.Row(
