--- a/src/rig/java/reedspring/rig/scale/ChildMain.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -172,8 +172,7 @@
                 }
                 case "queries" -> {
                     return formatPairs(fronts, front -> Arrays.stream(front.queries())
-                            .mapToObj(Long::toString)
-                            .collect(Collectors.joining("/")));
+                            .mapToObj(Long::toString).collect(Collectors.joining("/")));
                 }
                 case "cost" -> {
                     System.gc();
--- a/src/rig/java/reedspring/rig/scale/ControlDriver.java
+++ b/src/rig/java/reedspring/rig/scale/ControlDriver.java
@@ -50,15 +50,13 @@
                 new Deployment.Allowed(false, true, false, 3, TICKS_PER_SECOND / 2),
                 new Deployment.Discovery(false, 10 * TICKS_PER_SECOND),
                 new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), null,
-                TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND,
-                true);
+                TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND, true);
         control = new Control(seed, deployment, now, this::onAction);
     }
 
     private static Event.Listing listing(int k, Health health) {
         return new Event.Listing(new Id.Engine(engineName(k)), new Id.Kind("std"),
-                new Id.Zone("zone" + k % 14),
-                new Id.Cell(k % 5), health, 0);
+                new Id.Zone("zone" + k % 14), new Id.Cell(k % 5), health, 0);
     }
 
     /** Eight hex digits after a prefix: unique for each engine and not sorted by index. */
--- a/src/rig/java/reedspring/rig/scale/Figures.java
+++ b/src/rig/java/reedspring/rig/scale/Figures.java
@@ -98,7 +98,7 @@
         return figures;
     }
 
-    /** Reads a file, or all files named *.csv directly in a folder, sorted by name. */
+    /** Reads a file, or all files named *.csv directly in a directory, sorted by name. */
     public static List<Figure> readAll(Path path) throws IOException {
         if (!Files.isDirectory(path)) {
             return read(path);
@@ -128,8 +128,7 @@
         }
         Row fields = new Row(file, line, row);
         return new Figure(fields.text(0), fields.text(1), fields.text(2), fields.count(3), fields.count(4),
-                fields.rate(5), fields.count(6),
-                fields.rate(7), fields.count(8), fields.number(9));
+                fields.rate(5), fields.count(6), fields.rate(7), fields.count(8), fields.number(9));
     }
 
     private record Row(Path file, long line, CSVRecord csvRow) {
--- a/src/rig/java/reedspring/rig/scale/Fit.java
+++ b/src/rig/java/reedspring/rig/scale/Fit.java
@@ -64,7 +64,8 @@
 
     private static SimpleRegression regression(double[] x, double[] y) {
         if (x.length != y.length || Arrays.stream(x).distinct().count() < 2) {
-            throw new IllegalArgumentException("a fit needs as many y as x values, and two different x at least");
+            throw new IllegalArgumentException(
+                    "a fit needs as many y as x values, and two different x at least");
         }
         SimpleRegression regression = new SimpleRegression();
         for (int k = 0; k < x.length; k++) {
--- a/src/rig/java/reedspring/rig/scale/JournalService.java
+++ b/src/rig/java/reedspring/rig/scale/JournalService.java
@@ -296,8 +296,7 @@
 
     private static ByteBuf eventText(int number, boolean complete, String... hosts) {
         return Unpooled.copiedBuffer("id: " + number + "\ndata: "
-                + JournalStandIn.event(number, complete, hosts)
-                + "\n\n", StandardCharsets.UTF_8);
+                + JournalStandIn.event(number, complete, hosts) + "\n\n", StandardCharsets.UTF_8);
     }
 
     /** The list entry of one engine. */
--- a/src/rig/java/reedspring/rig/scale/Page.java
+++ b/src/rig/java/reedspring/rig/scale/Page.java
@@ -150,8 +150,7 @@
                 CONTROL_BUDGET_CORES,
                 "core", report.basis(), "%s/s x %s us", QUERIES_PER_SECOND, report.value());
         addNeed("front", "pulses", PULSES_PER_SECOND * pulse.value() / 1e6, CONTROL_BUDGET_CORES, "core",
-                pulse.basis(),
-                "%s/s x %s us", PULSES_PER_SECOND, pulse.value());
+                pulse.basis(), "%s/s x %s us", PULSES_PER_SECOND, pulse.value());
         addNeed("front", "changed rows of an ordinary day", ROWS_PER_DAY / SECONDS_PER_DAY * row.value()
                 / 1e6, CONTROL_BUDGET_CORES,
                 "core", row.basis(), "%s rows / %s s x %s us", ROWS_PER_DAY, SECONDS_PER_DAY, row.value());
@@ -159,18 +158,15 @@
                 ROWS_PER_PEAK_MINUTE / 60 * row.value() / 1e6, CONTROL_BUDGET_CORES, "core", row.basis(),
                 "%s rows / 60 s x %s us", ROWS_PER_PEAK_MINUTE, row.value());
         addNeed("front", "stands still while a rack's rows come", ENGINES_PER_RACK * row.value() / 1e6,
-                CHANGE_LIMIT_S, "s",
-                row.basis(), "%s rows x %s us", ENGINES_PER_RACK, row.value());
+                CHANGE_LIMIT_S, "s", row.basis(), "%s rows x %s us", ENGINES_PER_RACK, row.value());
         addNeed("front", "stands still while a zone's rows come", ENGINES_PER_ZONE * row.value() / 1e6,
-                CHANGE_LIMIT_S, "s",
-                row.basis(), "%s rows x %s us", ENGINES_PER_ZONE, row.value());
+                CHANGE_LIMIT_S, "s", row.basis(), "%s rows x %s us", ENGINES_PER_ZONE, row.value());
         Estimate first = atTargetSize("control_list_first");
         Estimate again = atTargetSize("control_list_again");
         addNeed("front", "stands still at its start, for the list in its configuration", first.value() / 1e3,
                 READY_LIMIT_S, "s", first.basis(), "%s ms once", first.value());
         addNeed("front", "stands still when the whole list comes again", again.value() / 1e3, CHANGE_LIMIT_S,
-                "s",
-                again.basis(), "%s ms once", again.value());
+                "s", again.basis(), "%s ms once", again.value());
         connectionNeeds();
         trafficNeeds();
         memoryNeeds();
@@ -184,8 +180,7 @@
             String unit = "count of " + sockets + " descriptors";
             addNeed("front", "client connections, of " + sockets + " descriptors", CONNECTIONS_PER_FRONT,
                     singleValue("front_holds_clients", unit), "connections", "as its limits tell",
-                    "16,000,000 / %s",
-                    (double) Slopes.FRONTS);
+                    "16,000,000 / %s", (double) Slopes.FRONTS);
             double enginesInSubset = Math.ceil(TARGET_ENGINES * Math.log(TARGET_ENGINES / 0.05)
                     / (0.3 * Slopes.FRONTS));
             addNeed("front", "engines in its circle, a connection each, of " + sockets + " descriptors",
@@ -220,8 +215,7 @@
         Estimate parsing = atTargetSize("journal_event_cpu");
         double maxEventBytes = singleValue("journal_event_bound", "B");
         addNeed("journal, front", "one event with the whole list", event.value(), maxEventBytes, "B",
-                event.basis(),
-                "%s rows", (double) TARGET_ENGINES);
+                event.basis(), "%s rows", (double) TARGET_ENGINES);
         // Mean of the longest reconnect delay, which is 0.25 to 0.5 s; reading time is left out.
         double meanDelayS = 0.375;
         if (event.value() > maxEventBytes) {
@@ -268,25 +262,21 @@
 
     private void idleNeeds(Estimate control) {
         Map<Double, Summary> memoryByConnections = Summary.byFactor(named("front_idle_memory")
-                .filter(f -> f.connections() > 0),
-                f -> f.connections());
+                .filter(f -> f.connections() > 0), f -> f.connections());
         Fit memoryFit = fit(memoryByConnections, false);
         double maxConnections = memoryByConnections.keySet().stream().mapToDouble(Double::doubleValue).max()
                 .orElseThrow();
         addNeed("front", "memory with all its clients idle, at 8 engines, and the list's",
-                memoryFit.valueAt(CONNECTIONS_PER_FRONT)
-                + control.value(), MEMORY_MB * 1.048576, "MB",
+                memoryFit.valueAt(CONNECTIONS_PER_FRONT) + control.value(), MEMORY_MB * 1.048576, "MB",
                 formatNumber(CONNECTIONS_PER_FRONT / maxConnections) + " times "
                 + formatNumber(maxConnections) + " connections, by the line", "%s + %s x %s MB + %s",
-                memoryFit.base(), CONNECTIONS_PER_FRONT,
-                memoryFit.slope(), control.value());
+                memoryFit.base(), CONNECTIONS_PER_FRONT, memoryFit.slope(), control.value());
         Fit cpuFit = fit(Summary.byFactor(named("front_idle_cpu").filter(f -> f.connections() > 0),
                 f -> f.connections()), false);
         addNeed("front", "idle clients", cpuFit.valueAt(CONNECTIONS_PER_FRONT), CONTROL_BUDGET_CORES, "core",
                 formatNumber(CONNECTIONS_PER_FRONT / maxConnections)
                 + " times " + formatNumber(maxConnections) + " connections, by the line",
-                "%s + %s x %s core", cpuFit.base(),
-                CONNECTIONS_PER_FRONT, cpuFit.slope());
+                "%s + %s x %s core", cpuFit.base(), CONNECTIONS_PER_FRONT, cpuFit.slope());
     }
 
     // ---- text
@@ -333,8 +323,7 @@
 
     private static String formatSummary(Summary summary) {
         return formatNumber(summary.min()) + " / " + formatNumber(summary.median()) + " / "
-                + formatNumber(summary.max()) + " ("
-                + summary.repeats() + ")";
+                + formatNumber(summary.max()) + " (" + summary.repeats() + ")";
     }
 
     private String needsTable() {
--- a/src/rig/java/reedspring/rig/scale/Scale.java
+++ b/src/rig/java/reedspring/rig/scale/Scale.java
@@ -157,8 +157,7 @@
 
         long memoryMb() {
             return MAIN_PROCESS_MB + (long) hollowProcesses() * hollowHeapMb() + engineProcesses() * 512L
-                    + 256
-                    + (long) realFronts * realMb();
+                    + 256 + (long) realFronts * realMb();
         }
 
         /** A message about a resource that the machine lacks, or null. */
--- a/src/rig/java/reedspring/rig/scale/ScaleRun.java
+++ b/src/rig/java/reedspring/rig/scale/ScaleRun.java
@@ -131,8 +131,7 @@
         int generation = generations.getOrDefault(engine, 0);
         String address = ChildMain.engineAddress(secondOctet(), addressIndexes.get(engine)) + ":" + port();
         return new JournalService.Row("e" + engine + "-" + generation, address,
-                String.valueOf(timetable.site(engine)),
-                Terms.kind(timetable.cores(engine)), health, 0);
+                String.valueOf(timetable.site(engine)), Terms.kind(timetable.cores(engine)), health, 0);
     }
 
     private void startAll() throws IOException {
@@ -162,8 +161,7 @@
             ChildProcess process = startProcess("hollow", size.hollowHeapMb());
             hollowProcesses.add(process);
             process.execute("start " + directory + " " + joinNumbers(nextFront, untilFront) + " "
-                    + LOOPS_PER_PROCESS + " " + HOLLOW_QUERIES_PER_SECOND + " "
-                    + timetableFile);
+                    + LOOPS_PER_PROCESS + " " + HOLLOW_QUERIES_PER_SECOND + " " + timetableFile);
             nextFront = untilFront;
         }
         log(size.hollowFronts() + " hollow fronts started");
@@ -176,8 +174,7 @@
         long deadline = startupNanos + 60 * NANOS_PER_SECOND;
         while (journal.upToDateWatchers().size() < size.fronts()) {
             require(System.nanoTime() < deadline, "only " + journal.upToDateWatchers().size() + " of "
-                    + size.fronts()
-                    + " fronts are up to date with the journal after a minute");
+                    + size.fronts() + " fronts are up to date with the journal after a minute");
             pause(50);
         }
         figure("start_all_in_step", (System.nanoTime() - startupNanos) / 1e9);
@@ -294,8 +291,7 @@
                 schedule(entry.until(), () -> {
                     engines.forEach(e -> generations.merge(e, 1, Integer::sum));
                     expectInForce(entry.title() + " back", journal.publish(engines.stream()
-                            .map(e -> row(e, "ready"))
-                            .toList()));
+                            .map(e -> row(e, "ready")).toList()));
                 });
             }
             case KILL -> {
@@ -599,8 +595,7 @@
             String readyNanos = entry.getKey().execute("revive " + entry.getValue());
             if (entry.getKey() == realProcess) {
                 recordDelays(title + " ready real", new ArrayList<>(List.of(Long.parseLong(readyNanos))),
-                        READY_WITHIN_NANOS,
-                        sinceNanos);
+                        READY_WITHIN_NANOS, sinceNanos);
             }
         }
         finalChecks.add(() -> {
@@ -635,8 +630,7 @@
             figure(title + " bytes_over_aim", (double) peaks[1] / JOURNAL_BYTES_PER_SECOND);
             if (checkTimes && peaks[0] > MAX_PEAK_RATIO * targetRequests) {
                 violations.add(String.format(Locale.ROOT, "%s: %d requests in 100 ms, pacing aims at %.0f",
-                        title,
-                        peaks[0], targetRequests));
+                        title, peaks[0], targetRequests));
             }
             if (peaks[1] > MAX_PEAK_RATIO * JOURNAL_BYTES_PER_SECOND) {
                 violations.add(title + ": " + peaks[1] + " bytes in 1 s, pacing aims at "
--- a/src/rig/java/reedspring/rig/scale/SlopeCharts.java
+++ b/src/rig/java/reedspring/rig/scale/SlopeCharts.java
@@ -45,16 +45,14 @@
     }
 
     private static boolean draw(String factorLabel, String unit, List<Figure> figures,
-            ToDoubleFunction<Figure> factor,
-            Path file) throws IOException {
+            ToDoubleFunction<Figure> factor, Path file) throws IOException {
         XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(unit + " " + factorLabel)
                 .xAxisTitle(factorLabel.replace("by ", "")).yAxisTitle(unit).build();
         chart.getStyler().setXAxisLogarithmic(true).setYAxisLogarithmic(true)
                 .setLegendPosition(Styler.LegendPosition.OutsideE);
         for (String name : new TreeSet<>(figures.stream().map(Figure::figure).toList())) {
             Map<Double, Summary> summaries = Summary.byFactor(figures.stream()
-                    .filter(f -> f.figure().equals(name)),
-                    factor);
+                    .filter(f -> f.figure().equals(name)), factor);
             summaries.entrySet().removeIf(e -> e.getKey() <= 0 || e.getValue().median() <= 0);
             if (summaries.size() > 1) {
                 chart.addSeries(name, new ArrayList<>(summaries.keySet()),
--- a/src/rig/java/reedspring/rig/scale/Slopes.java
+++ b/src/rig/java/reedspring/rig/scale/Slopes.java
@@ -76,8 +76,7 @@
             // The part sockets only holds clients and engines; its front is a process with its own sizes.
             command.addAll(partName.equals("sockets") ? List.of() : jvmFlags());
             command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(),
-                    partName,
-                    run, Long.toString(seed), Boolean.toString(shortRun), file.toString()));
+                    partName, run, Long.toString(seed), Boolean.toString(shortRun), file.toString()));
             Process child = new ProcessBuilder(command).redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.INHERIT).start();
             try {
@@ -165,15 +164,12 @@
     }
 
     private synchronized void recordFigure(String figure, String unit, double queriesPerSecond,
-            int connections,
-            double value) throws IOException {
+            int connections, double value) throws IOException {
         figures.add(new Figure(run, figure, unit, fronts, engines, Math.rint(queriesPerSecond), connections,
-                0,
-                repeat, value));
+                0, repeat, value));
         Figures.write(file, figures);
         System.err.println("  " + figure + " " + engines + " engines, " + fronts + " fronts, "
-                + queriesPerSecond
-                + "/s, " + connections + " connections: " + value + " " + unit);
+                + queriesPerSecond + "/s, " + connections + " connections: " + value + " " + unit);
     }
 
     private static long cpuNanos() {
@@ -181,8 +177,8 @@
     }
 
     /**
-     * Mean CPU time of a call in nanoseconds, after a warm-up, over at least {@link #MEASURE_NANOS} or {@code
-     * maxCalls} calls.
+     * Mean CPU time of a call in nanoseconds, after a warm-up, over at least {@link #MEASURE_NANOS} or
+     * {@code maxCalls} calls.
      */
     private double cpuNanosPerCall(String figure, int maxCalls, Runnable call) {
         beginFigure(figure);
--- a/src/test/java/reedspring/rig/scale/FitTest.java
+++ b/src/test/java/reedspring/rig/scale/FitTest.java
@@ -32,7 +32,7 @@
             scattered[k] *= random.nextBoolean() ? 1.1 : 1 / 1.1;
         }
         double residual = Fit.powerLaw(SIZES, scattered).residual();
-        assertTrue(residual <= 1.1 + 1e-9, "least squares miss by no more than the law: " + residual);
+        assertTrue(residual <= 1.1 + 1e-9, "the residual exceeds the scatter: " + residual);
     }
 
     @Example
--- a/src/test/java/reedspring/rig/scale/JournalServiceTest.java
+++ b/src/test/java/reedspring/rig/scale/JournalServiceTest.java
@@ -32,8 +32,7 @@
                     Integer.parseInt(address.substring(address.indexOf(':') + 1))));
             socket.setSoTimeout((int) Rig.PATIENCE_S * 1000);
             socket.getOutputStream().write(("GET /journal HTTP/1.1\r\nHost: x\r\nLast-Event-ID: "
-                    + lastEventId
-                    + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                    + lastEventId + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                     StandardCharsets.US_ASCII), 4_096);
         }
@@ -42,7 +41,7 @@
         private String[] nextEvent() throws IOException {
             String id = "";
             for (String line = in.readLine(); ; line = in.readLine()) {
-                assertTrue(line != null, "the stream goes on");
+                assertTrue(line != null, "the stream has ended");
                 readChars += line.length();
                 if (line.startsWith("id: ")) {
                     id = line.substring(4);
@@ -80,14 +79,13 @@
     }
 
     @Example
-    void aSlowReaderOfAFourMegabyteListDelaysNobodyAndMissesNothing()
-            throws Exception {
+    void aSlowReaderOfAFourMegabyteListDelaysNobodyAndMissesNothing() throws Exception {
         try (JournalService service = new JournalService(1 << 28)) {
             service.publish(IntStream.range(0, ENGINES).mapToObj(k -> row(k, "ready")).toList());
             String slowAddress = service.addWatcher().get(0);
             String fastAddress = service.addWatcher().get(1);
-            try (TestWatcher slowReader = new TestWatcher(slowAddress, 0); TestWatcher fastReader =
-                    new TestWatcher(fastAddress, 0)) {
+            try (TestWatcher slowReader = new TestWatcher(slowAddress, 0);
+                    TestWatcher fastReader = new TestWatcher(fastAddress, 0)) {
                 Rig.await("the request of the slow watcher", () -> !service.requestsSince(0, 0).isEmpty());
                 for (int k = 0; k < CHANGES; k++) {
                     service.publish(List.of(row(k, "draining")));
@@ -130,8 +128,8 @@
                 });
             }
             service.setUnavailable(false);
-            try (TestWatcher resumed = new TestWatcher(address, 3); TestWatcher fromStart =
-                    new TestWatcher(address, 0)) {
+            try (TestWatcher resumed = new TestWatcher(address, 3);
+                    TestWatcher fromStart = new TestWatcher(address, 0)) {
                 service.publish(List.of(row(2, "ready")));
                 assertEquals("4", resumed.nextEvent()[0]);
                 String[] fullList = fromStart.nextEvent();
--- a/src/test/java/reedspring/rig/scale/PageTest.java
+++ b/src/test/java/reedspring/rig/scale/PageTest.java
@@ -89,8 +89,7 @@
         for (int sockets : new int[] {1_024, 4_096}) {
             for (String resource : List.of("clients", "engines")) {
                 figures.add(figure("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0,
-                        0, 0,
-                        sockets / 2));
+                        0, 0, sockets / 2));
             }
         }
         return figures;
