--- a/src/rig/java/reedspring/rig/scale/Slopes.java
+++ b/src/rig/java/reedspring/rig/scale/Slopes.java
@@ -16,71 +16,74 @@
 import reedspring.rig.scale.Figures.Figure;
 
 /**
- * What each factor costs, with the others held: one front's decisions alone, the reading of the journal's
- * events, and a started front by its connections and its queries. Each part runs in a JVM of its own with the
- * flags and the sizes of the line that starts the program, on one thread whose CPU is counted; a part that
- * goes on for too long is cut off, and its figures say how far it came.
+ * Measures the cost of each factor with the others fixed: the decisions of one front, the parsing of journal
+ * events, and a front process by its connections and its queries. Each part runs in its own JVM with the
+ * flags and memory sizes of the deployment's start command, on one thread whose CPU time is measured. A part
+ * that exceeds its time limit is ended, and a figure records which measurement it was in.
  */
 public final class Slopes {
     public static final int MEMORY_MB = 256;
     public static final int FRONTS = 3_600;
-    public static final double ALL_QUERIES = 6_100_000;
-    private static final int[] ENGINES = {40, 160, 400, 1_000, 2_500};
-    private static final int HELD_ENGINES = 400;
-    private static final int[] KNOWN = {1, 12, 120, 3_600};
-    private static final int LARGEST = 25_000;
+    public static final double TOTAL_QUERIES_PER_SECOND = 6_100_000;
+    private static final int[] ENGINE_COUNTS = {40, 160, 400, 1_000, 2_500};
+    private static final int FIXED_ENGINES = 400;
+    private static final int[] FRONT_COUNTS = {1, 12, 120, 3_600};
+    private static final int LARGEST_ENGINES = 25_000;
     private static final int REPEATS = 3;
-    private static final long WARM_NANOS = 200_000_000;
-    private static final long ENOUGH_NANOS = 150_000_000;
-    private static final long CUT_S = 150;
-    private static final int CUT = 3;
-    private static final Pattern FLAGS = Pattern.compile("exec \\$e java (.*?) -XX:SharedArchiveFile");
+    private static final long WARM_UP_NANOS = 200_000_000;
+    private static final long MEASURE_NANOS = 150_000_000;
+    private static final long TIME_LIMIT_S = 150;
+    private static final int TIME_LIMIT_EXIT_STATUS = 3;
+    private static final Pattern JVM_FLAGS_PATTERN =
+            Pattern.compile("exec \\$e java (.*?) -XX:SharedArchiveFile");
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
     private final String run;
     private final long seed;
-    private final boolean shortly;
+    private final boolean shortRun;
     private final Path file;
     private final List<Figure> figures = new ArrayList<>();
-    /** A field, so that it is known when nothing refers to it any more. */
-    private Alone front;
-    private volatile String doing = "start";
+    /** A field, so that it can be cleared before the heap is measured. */
+    private ControlDriver controlDriver;
+    private volatile String currentFigure = "start";
     private volatile int engines;
     private volatile int fronts = FRONTS;
     private volatile int repeat = 1;
-    private volatile long doingSince;
+    private volatile long currentFigureStartNanos;
 
-    private Slopes(String run, long seed, boolean shortly, Path file) {
+    private Slopes(String run, long seed, boolean shortRun, Path file) {
         this.run = run;
         this.seed = seed;
-        this.shortly = shortly;
+        this.shortRun = shortRun;
         this.file = file;
     }
 
-    /** All parts of it, or the one that is named where {@code part} is not null; a file for each. */
-    public static List<Figure> measure(Path out, long seed, boolean shortly, String part)
+    /** Runs all parts, or only {@code part} if it is not null; writes one file for each. */
+    public static List<Figure> measure(Path directory, long seed, boolean shortRun, String part)
             throws IOException, InterruptedException {
-        String run = commit() + " bench/scale --slopes --seed " + seed + (shortly ? " --short" : "");
+        String run = commit() + " bench/scale --slopes --seed " + seed + (shortRun ? " --short" : "");
         List<Figure> all = new ArrayList<>();
-        for (String one : List.of("known", "journal", "rates", "engines", "sockets", "large", "largest")) {
-            if (part != null ? !part.equals(one) : shortly && one.startsWith("large")) {
+        for (String partName : List.of("known", "journal", "rates", "engines", "sockets", "large",
+                "largest")) {
+            if (part != null ? !part.equals(partName) : shortRun && partName.startsWith("large")) {
                 continue;
             }
-            Path file = out.resolve("slopes-" + one + ".csv");
+            Path file = directory.resolve("slopes-" + partName + ".csv");
             Files.deleteIfExists(file);
-            System.err.println("slopes: " + one);
+            System.err.println("slopes: " + partName);
             List<String> command = new ArrayList<>();
             command.add(ProcessHandle.current().info().command().orElse("java"));
-            // The sockets' part only holds clients and engines; the front that it starts has its own sizes.
-            command.addAll(one.equals("sockets") ? List.of() : flags());
-            command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(), one,
-                    run, Long.toString(seed), Boolean.toString(shortly), file.toString()));
+            // The part sockets only holds clients and engines; its front is a process with its own sizes.
+            command.addAll(partName.equals("sockets") ? List.of() : jvmFlags());
+            command.addAll(List.of("-cp", System.getProperty("java.class.path"), Slopes.class.getName(),
+                    partName, run, Long.toString(seed), Boolean.toString(shortRun), file.toString()));
             Process child = new ProcessBuilder(command).redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.INHERIT).start();
             try {
-                Rig.require(child.waitFor(2 * CUT_S, TimeUnit.SECONDS), one + " does not end");
-                Rig.require(child.exitValue() == 0 || child.exitValue() == CUT,
-                        one + " ended with " + child.exitValue());
+                Rig.require(child.waitFor(2 * TIME_LIMIT_S, TimeUnit.SECONDS), partName
+                        + " did not end in time");
+                Rig.require(child.exitValue() == 0 || child.exitValue() == TIME_LIMIT_EXIT_STATUS,
+                        partName + " exited with status " + child.exitValue());
             } finally {
                 child.destroyForcibly();
             }
@@ -89,108 +92,112 @@
         return all;
     }
 
-    /** The JVM's words in the line that starts the program, with its sizes, but no archive of classes. */
-    static List<String> flags() throws IOException, InterruptedException {
-        Matcher words = FLAGS.matcher(Files.readString(Path.of("deploy/balancer.toml")));
-        Rig.require(words.find(), "no JVM in the line that starts the program");
+    /** The JVM flags in the deployment's start command, memory sizes included, without the class archive. */
+    static List<String> jvmFlags() throws IOException, InterruptedException {
+        Matcher matcher = JVM_FLAGS_PATTERN.matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        Rig.require(matcher.find(), "no JVM flags in the start command of deploy/balancer.toml");
         Process shell = new ProcessBuilder("/bin/sh", "-c",
-                "m=" + MEMORY_MB + "; echo " + words.group(1)).start();
-        String told = new String(shell.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-        Rig.require(shell.waitFor() == 0 && told.contains("-Xmx"), "no sizes in " + told);
-        return List.of(told.split(" +"));
+                "m=" + MEMORY_MB + "; echo " + matcher.group(1)).start();
+        String output = new String(shell.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+        Rig.require(shell.waitFor() == 0 && output.contains("-Xmx"), "no -Xmx in the JVM flags " + output);
+        return List.of(output.split(" +"));
     }
 
-    /** Of this checkout, or unknown where it is none. */
+    /** The commit of this checkout, or {@code unknown} outside a repository. */
     static String commit() throws IOException {
         Process git = new ProcessBuilder("git", "rev-parse", "--short=7", "HEAD")
                 .redirectError(ProcessBuilder.Redirect.DISCARD).start();
-        String told = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-        // Its output has ended, so it ends, too.
-        return git.onExit().join().exitValue() == 0 && !told.isEmpty() ? told : "unknown";
+        String output = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+        // Its output is at its end, so its exit follows at once.
+        return git.onExit().join().exitValue() == 0 && !output.isEmpty() ? output : "unknown";
     }
 
     /**
-     * {@code --out DIR [--seed N] [--short] [PART]}, as bench/scale --slopes has it; or, in a JVM of its own,
-     * one part: its name, what the run is called, seed, whether shortly, and the file.
+     * {@code --out DIR [--seed N] [--short] [PART]}, like bench/scale --slopes; or, in the child JVM of one
+     * part: its name, the name of the run, the seed, whether the run is short, and the file for the figures.
      */
     public static void main(String[] args) throws Exception {
         if (args.length > 1 && args[0].equals("--out")) {
-            List<String> more = new ArrayList<>(List.of(args).subList(2, args.length));
-            int at = more.indexOf("--seed");
-            long seed = at < 0 ? 1 : Long.parseLong(more.get(at + 1));
-            if (at >= 0) {
-                more.subList(at, at + 2).clear();
+            List<String> arguments = new ArrayList<>(List.of(args).subList(2, args.length));
+            int seedIndex = arguments.indexOf("--seed");
+            long seed = seedIndex < 0 ? 1 : Long.parseLong(arguments.get(seedIndex + 1));
+            if (seedIndex >= 0) {
+                arguments.subList(seedIndex, seedIndex + 2).clear();
             }
-            boolean shortly = more.remove("--short");
-            List<Figure> all = measure(Path.of(args[1]), seed, shortly, more.isEmpty() ? null : more.get(0));
+            boolean shortRun = arguments.remove("--short");
+            List<Figure> all = measure(Path.of(args[1]), seed, shortRun, arguments.isEmpty() ? null
+                    : arguments.get(0));
             System.out.println("figures=" + all.size() + " charts="
-                    + Charts.byEngines(all, Path.of(args[1])).size());
+                    + SlopeCharts.writeByEngines(all, Path.of(args[1])).size());
             return;
         }
         Slopes slopes = new Slopes(args[1], Long.parseLong(args[2]), Boolean.parseBoolean(args[3]),
                 Path.of(args[4]));
-        slopes.cutOff(Thread.currentThread().getId());
+        slopes.startWatchdog(Thread.currentThread().getId());
         switch (args[0]) {
-            case "engines" -> slopes.byEngines();
-            case "large" -> slopes.large();
-            case "largest" -> slopes.largest();
-            case "known" -> slopes.byFronts();
-            case "rates" -> slopes.byRate();
-            case "journal" -> slopes.journal();
-            case "sockets" -> slopes.sockets();
+            case "engines" -> slopes.measureByEngines();
+            case "large" -> slopes.measureLarge();
+            case "largest" -> slopes.measureLargest();
+            case "known" -> slopes.measureByFronts();
+            case "rates" -> slopes.measureByRate();
+            case "journal" -> slopes.measureJournal();
+            case "sockets" -> slopes.measureSockets();
             default -> throw new IllegalArgumentException(args[0]);
         }
         System.exit(0);
     }
 
-    /** Tells how far the part came in its time, and ends it. */
-    private void cutOff(long thread) {
-        Thread watch = new Thread(() -> {
+    /** Ends the part at its time limit, and records the CPU time of the measurement that was running. */
+    private void startWatchdog(long threadId) {
+        Thread watchdog = new Thread(() -> {
             try {
-                TimeUnit.SECONDS.sleep(CUT_S);
-                long took = THREADS.getThreadCpuTime(thread) - doingSince;
-                keep(doing + "_cut_off", "s", 0, 0, took / 1e9);
+                TimeUnit.SECONDS.sleep(TIME_LIMIT_S);
+                long cpuNanos = THREADS.getThreadCpuTime(threadId) - currentFigureStartNanos;
+                recordFigure(currentFigure + "_cut_off", "s", 0, 0, cpuNanos / 1e9);
             } catch (IOException | InterruptedException e) {
                 System.err.println("slopes: " + e);
             }
-            Runtime.getRuntime().halt(CUT);
+            Runtime.getRuntime().halt(TIME_LIMIT_EXIT_STATUS);
         });
-        watch.setDaemon(true);
-        watch.start();
+        watchdog.setDaemon(true);
+        watchdog.start();
     }
 
-    private synchronized void keep(String figure, String unit, double perSecond, int connections,
-            double value) throws IOException {
-        figures.add(new Figure(run, figure, unit, fronts, engines, Math.rint(perSecond), connections, 0,
-                repeat, value));
+    private synchronized void recordFigure(String figure, String unit, double queriesPerSecond,
+            int connections, double value) throws IOException {
+        figures.add(new Figure(run, figure, unit, fronts, engines, Math.rint(queriesPerSecond), connections,
+                0, repeat, value));
         Figures.write(file, figures);
-        System.err.println("  " + figure + " " + engines + " engines, " + fronts + " fronts, " + perSecond
-                + "/s, " + connections + " connections: " + value + " " + unit);
+        System.err.println("  " + figure + " " + engines + " engines, " + fronts + " fronts, "
+                + queriesPerSecond + "/s, " + connections + " connections: " + value + " " + unit);
     }
 
-    private static long cpu() {
+    private static long cpuNanos() {
         return THREADS.getCurrentThreadCpuTime();
     }
 
-    /** CPU of one call, nanoseconds: after a warm-up, over enough calls to be counted well. */
-    private double each(String figure, int most, Runnable call) {
-        begin(figure);
-        long end = cpu() + WARM_NANOS;
-        for (int k = 0; k < most && (k == 0 || cpu() < end); k++) {
+    /**
+     * Mean CPU time of a call in nanoseconds, after a warm-up, over at least {@link #MEASURE_NANOS} or
+     * {@code maxCalls} calls.
+     */
+    private double cpuNanosPerCall(String figure, int maxCalls, Runnable call) {
+        beginFigure(figure);
+        long warmUpEnd = cpuNanos() + WARM_UP_NANOS;
+        for (int k = 0; k < maxCalls && (k == 0 || cpuNanos() < warmUpEnd); k++) {
             call.run();
         }
-        long before = cpu();
+        long startNanos = cpuNanos();
         int calls = 0;
         do {
             call.run();
             calls++;
-        } while (calls < most && cpu() - before < ENOUGH_NANOS);
-        return (cpu() - before) / (double) calls;
+        } while (calls < maxCalls && cpuNanos() - startNanos < MEASURE_NANOS);
+        return (cpuNanos() - startNanos) / (double) calls;
     }
 
-    private void begin(String figure) {
-        doing = figure;
-        doingSince = cpu();
+    private void beginFigure(String figure) {
+        currentFigure = figure;
+        currentFigureStartNanos = cpuNanos();
     }
 
     private static double heapMb() {
@@ -200,174 +207,185 @@
         return (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) / 1e6;
     }
 
-    private void list(String figure) throws IOException {
-        begin(figure);
-        long before = cpu();
-        front.wholeList();
-        keep(figure, "ms", 0, 0, (cpu() - before) / 1e6);
+    private void measureFullList(String figure) throws IOException {
+        beginFigure(figure);
+        long startNanos = cpuNanos();
+        controlDriver.deliverFullList();
+        recordFigure(figure, "ms", 0, 0, (cpuNanos() - startNanos) / 1e6);
     }
 
-    private void events(int most) throws IOException {
-        keep("control_query", "us", 0, 0, each("control_query", most, front::query) / 1e3);
-        keep("control_pulse", "us", 0, 0, each("control_pulse", most, front::pulse) / 1e3);
-        keep("control_report", "us", 0, 0, each("control_report", most, front::report) / 1e3);
-        keep("control_row", "us", 0, 0, each("control_row", most, front::row) / 1e3);
+    private void measureEvents(int maxCalls) throws IOException {
+        recordFigure("control_query", "us", 0, 0, cpuNanosPerCall("control_query", maxCalls,
+                controlDriver::runShortQuery) / 1e3);
+        recordFigure("control_pulse", "us", 0, 0, cpuNanosPerCall("control_pulse", maxCalls,
+                controlDriver::firePulse) / 1e3);
+        recordFigure("control_report", "us", 0, 0, cpuNanosPerCall("control_report", maxCalls,
+                controlDriver::deliverLoadReport) / 1e3);
+        recordFigure("control_row", "us", 0, 0, cpuNanosPerCall("control_row", maxCalls,
+                controlDriver::deliverRowChange) / 1e3);
     }
 
-    private int repeats() {
-        return shortly ? 1 : REPEATS;
+    private int repeatCount() {
+        return shortRun ? 1 : REPEATS;
     }
 
-    private void warm() {
-        Alone front = new Alone(seed, 12, 160, ALL_QUERIES);
+    private void warmUp() {
+        ControlDriver controlDriver = new ControlDriver(seed, 12, 160, TOTAL_QUERIES_PER_SECOND);
         for (int k = 0; k < 40; k++) {
-            front.wholeList();
+            controlDriver.deliverFullList();
         }
         for (int k = 0; k < 3_000; k++) {
-            front.query();
-            front.pulse();
-            front.report();
-            front.row();
+            controlDriver.runShortQuery();
+            controlDriver.firePulse();
+            controlDriver.deliverLoadReport();
+            controlDriver.deliverRowChange();
         }
     }
 
-    private void one(int size, int known, int most) throws IOException {
-        engines = size;
-        fronts = known;
-        front = null;
-        double before = heapMb();
-        front = new Alone(seed + repeat, known, size, ALL_QUERIES);
-        list("control_list_first");
-        events(most);
-        // With all that it has learnt meanwhile.
-        keep("control_heap", "MB", 0, 0, heapMb() - before);
-        Rig.require(front.submits() > 1, "nothing was submitted");
-        // Last, as it may not end in the time that there is.
-        list("control_list_again");
+    private void measureControl(int engineCount, int frontCount, int maxCalls) throws IOException {
+        engines = engineCount;
+        fronts = frontCount;
+        controlDriver = null;
+        double heapBefore = heapMb();
+        controlDriver = new ControlDriver(seed + repeat, frontCount, engineCount, TOTAL_QUERIES_PER_SECOND);
+        measureFullList("control_list_first");
+        measureEvents(maxCalls);
+        // Includes what the front has recorded about engines and queries meanwhile.
+        recordFigure("control_heap", "MB", 0, 0, heapMb() - heapBefore);
+        Rig.require(controlDriver.submitCount() > 1, "no query was submitted");
+        // Last, since it may exceed the time limit of the part.
+        measureFullList("control_list_again");
     }
 
-    private void byEngines() throws IOException {
-        warm();
-        for (int size : ENGINES) {
-            for (repeat = 1; repeat <= repeats() && !(shortly && size > 1_000); repeat++) {
-                one(size, FRONTS, 20_000);
+    private void measureByEngines() throws IOException {
+        warmUp();
+        for (int size : ENGINE_COUNTS) {
+            for (repeat = 1; repeat <= repeatCount() && !(shortRun && size > 1_000); repeat++) {
+                measureControl(size, FRONTS, 20_000);
             }
         }
     }
 
-    /** One repeat each. */
-    private void large() throws IOException {
-        warm();
-        one(5_000, FRONTS, 400);
-        one(10_000, FRONTS, 60);
+    /** Measured once for each size. */
+    private void measureLarge() throws IOException {
+        warmUp();
+        measureControl(5_000, FRONTS, 400);
+        measureControl(10_000, FRONTS, 60);
     }
 
-    /** The first list alone may take all the time that there is. */
-    private void largest() throws IOException {
-        warm();
-        one(LARGEST, FRONTS, 20);
+    /** Apart from the others, since the first list alone may take the whole time limit. */
+    private void measureLargest() throws IOException {
+        warmUp();
+        measureControl(LARGEST_ENGINES, FRONTS, 20);
     }
 
-    private void byFronts() throws IOException {
-        warm();
-        for (int known : KNOWN) {
-            for (repeat = 1; repeat <= repeats(); repeat++) {
-                one(HELD_ENGINES, known, 20_000);
+    private void measureByFronts() throws IOException {
+        warmUp();
+        for (int frontCount : FRONT_COUNTS) {
+            for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                measureControl(FIXED_ENGINES, frontCount, 20_000);
             }
         }
     }
 
-    /** By queries a second that are each out for 50 ms; few fronts, so that the bound is not met. */
-    private void byRate() throws IOException {
-        warm();
-        engines = HELD_ENGINES;
+    /** By query rate, each query open for 50 ms; few fronts, so that the front's quota is not reached. */
+    private void measureByRate() throws IOException {
+        warmUp();
+        engines = FIXED_ENGINES;
         fronts = 4;
         for (double rate : new double[] {20, 200, 1_694, 6_800}) {
-            for (repeat = 1; repeat <= repeats(); repeat++) {
-                Alone front = new Alone(seed + repeat, fronts, engines, ALL_QUERIES);
-                front.wholeList();
+            for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                ControlDriver controlDriver = new ControlDriver(seed + repeat, fronts, engines,
+                        TOTAL_QUERIES_PER_SECOND);
+                controlDriver.deliverFullList();
                 for (int k = 0; k < rate; k++) {
-                    front.queryOf(rate);
+                    controlDriver.runQueryAtRate(rate);
                 }
-                double each = each("control_query", 20_000, () -> front.queryOf(rate)) / 1e3;
-                Rig.require(front.held() >= rate / 20 - 1, front.held() + " queries out at " + rate);
-                keep("control_query", "us", rate, 0, each);
-                keep("control_pulse", "us", rate, 0, each("control_pulse", 20_000, front::pulse) / 1e3);
+                double nanosPerQuery = cpuNanosPerCall("control_query", 20_000, () ->
+                        controlDriver.runQueryAtRate(rate)) / 1e3;
+                Rig.require(controlDriver.openQueryCount() >= rate / 20 - 1, controlDriver.openQueryCount()
+                        + " queries open at a rate of " + rate);
+                recordFigure("control_query", "us", rate, 0, nanosPerQuery);
+                recordFigure("control_pulse", "us", rate, 0,
+                        cpuNanosPerCall("control_pulse", 20_000, controlDriver::firePulse) / 1e3);
             }
         }
     }
 
-    private void journal() throws Exception {
+    private void measureJournal() throws Exception {
         JournalReading reading = new JournalReading();
-        int most = JournalReading.most();
+        int maxEventBytes = JournalReading.most();
         fronts = 0;
         engines = 0;
-        keep("journal_event_bound", "B", 0, 0, most);
+        recordFigure("journal_event_bound", "B", 0, 0, maxEventBytes);
         for (int sockets : new int[] {1_024, 4_096, 16_384}) {
-            for (String what : List.of("clients", "engines", "queries")) {
-                keep("front_holds_" + what, "count of " + sockets + " descriptors", 0, 0,
-                        JournalReading.holds(sockets, MEMORY_MB).get(what));
+            for (String resource : List.of("clients", "engines", "queries")) {
+                recordFigure("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0,
+                        JournalReading.holds(sockets, MEMORY_MB).get(resource));
             }
         }
-        byte[] small = Alone.wholeEvent(ENGINES[2]);
+        byte[] smallEvent = ControlDriver.fullListEvent(ENGINE_COUNTS[2]);
         for (int k = 0; k < 300; k++) {
-            reading.read(small, Integer.MAX_VALUE);
+            reading.read(smallEvent, Integer.MAX_VALUE);
         }
-        for (int size : new int[] {40, 400, 2_500, 6_000, 12_500, LARGEST}) {
+        for (int size : new int[] {40, 400, 2_500, 6_000, 12_500, LARGEST_ENGINES}) {
             engines = size;
-            byte[] event = Alone.wholeEvent(size);
-            for (repeat = 1; repeat <= repeats(); repeat++) {
-                begin("journal_event_cpu");
-                keep("journal_event", "B", 0, 0, event.length);
-                keep("journal_event_taken", "rows", 0, 0, Math.max(0, reading.read(event, most)));
-                long allocated = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
-                Rig.require(reading.read(event, Integer.MAX_VALUE) == size, "rows were lost");
-                keep("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
-                        Thread.currentThread().getId()) - allocated) / 1e6);
-                double with = heapMb();
+            byte[] event = ControlDriver.fullListEvent(size);
+            for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                beginFigure("journal_event_cpu");
+                recordFigure("journal_event", "B", 0, 0, event.length);
+                recordFigure("journal_event_taken", "rows", 0, 0,
+                        Math.max(0, reading.read(event, maxEventBytes)));
+                long allocatedBefore = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
+                Rig.require(reading.read(event, Integer.MAX_VALUE) == size,
+                        "not all rows of the event were read");
+                recordFigure("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
+                        Thread.currentThread().getId()) - allocatedBefore) / 1e6);
+                double heapWithEvent = heapMb();
                 reading.forget();
-                keep("journal_event_heap", "MB", 0, 0, with - heapMb());
-                keep("journal_event_cpu", "ms", 0, 0, each("journal_event_cpu", 2_000,
+                recordFigure("journal_event_heap", "MB", 0, 0, heapWithEvent - heapMb());
+                recordFigure("journal_event_cpu", "ms", 0, 0, cpuNanosPerCall("journal_event_cpu", 2_000,
                         () -> reading.read(event, Integer.MAX_VALUE)) / 1e6);
-                reading.read(small, Integer.MAX_VALUE);
+                reading.read(smallEvent, Integer.MAX_VALUE);
             }
         }
     }
 
-    private void sockets() throws Exception {
-        engines = OneFront.ENGINES;
+    private void measureSockets() throws Exception {
+        engines = MeasuredFront.ENGINES;
         fronts = 1;
-        try (OneFront front = new OneFront()) {
-            begin("front_idle");
-            // What starts once is compiled meanwhile.
-            front.watch(5_000);
-            int[] sizes = shortly ? new int[] {0, 100} : new int[] {0, 500, 1_000, 2_000, 4_000};
+        try (MeasuredFront front = new MeasuredFront()) {
+            beginFigure("front_idle");
+            // Lets the JIT compile the startup code before the measurement.
+            front.measureIdle(5_000);
+            int[] sizes = shortRun ? new int[] {0, 100} : new int[] {0, 500, 1_000, 2_000, 4_000};
             for (int connections : sizes) {
                 front.connect(connections);
-                for (repeat = 1; repeat <= repeats(); repeat++) {
-                    OneFront.Used used = front.watch(1_500);
-                    keep("front_idle_cpu", "core", 0, connections, used.cores());
-                    keep("front_idle_memory", "MB", 0, connections, used.memoryMb());
+                for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                    MeasuredFront.Usage usage = front.measureIdle(1_500);
+                    recordFigure("front_idle_cpu", "core", 0, connections, usage.cores());
+                    recordFigure("front_idle_memory", "MB", 0, connections, usage.memoryMb());
                 }
             }
         }
-        try (OneFront front = new OneFront()) {
-            begin("front_busy");
+        try (MeasuredFront front = new MeasuredFront()) {
+            beginFigure("front_busy");
             front.connect(64);
-            front.serve(400, 6_000);
-            for (int rate : shortly ? new int[] {100, 400} : new int[] {100, 200, 400, 800}) {
-                for (repeat = 1; repeat <= repeats(); repeat++) {
-                    OneFront.Used used = front.serve(rate, 2_000);
-                    keep("front_busy_cpu", "core", used.perSecond(), 64, used.cores());
-                    keep("front_busy_memory", "MB", used.perSecond(), 64, used.memoryMb());
+            front.measureServing(400, 6_000);
+            for (int rate : shortRun ? new int[] {100, 400} : new int[] {100, 200, 400, 800}) {
+                for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                    MeasuredFront.Usage usage = front.measureServing(rate, 2_000);
+                    recordFigure("front_busy_cpu", "core", usage.queriesPerSecond(), 64, usage.cores());
+                    recordFigure("front_busy_memory", "MB", usage.queriesPerSecond(), 64, usage.memoryMb());
                 }
             }
-            for (int connections : shortly ? new int[] {64} : new int[] {64, 256, 1_000, 2_000}) {
+            for (int connections : shortRun ? new int[] {64} : new int[] {64, 256, 1_000, 2_000}) {
                 front.connect(connections);
-                front.serve(200, 500);
-                for (repeat = 1; repeat <= repeats(); repeat++) {
-                    OneFront.Used used = front.serve(200, 2_000);
-                    keep("front_by_connections_cpu", "core", used.perSecond(), connections, used.cores());
+                front.measureServing(200, 500);
+                for (repeat = 1; repeat <= repeatCount(); repeat++) {
+                    MeasuredFront.Usage usage = front.measureServing(200, 2_000);
+                    recordFigure("front_by_connections_cpu", "core", usage.queriesPerSecond(), connections,
+                            usage.cores());
                 }
             }
         }
