--- a/src/rig/java/reedspring/rig/fleet/Fleet.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleet.java
@@ -29,124 +29,129 @@
 import reedspring.rig.fleet.Timetable.What;
 
 /**
- * Started processes of the program before stand-in engines, clients and a journal for each, with every link
- * between them in the hands of a relay, played by a timetable. One run is its file and its seed.
+ * Runs a timetable on front processes with simulated engines and clients and a journal stand-in for each
+ * front. A fault proxy carries every link between them. The file and the seed determine a run.
  */
 public final class Fleet implements Closeable {
-    private static final long MS = 1_000_000;
-    private static final long STEP = 5;
-    private static final int STARTED_AT_ONCE = 8;
-    private static final int MOST_FRONTS = 200;
-    private static final int SIGNALS_IN_SERIES = 100;
-    private static final long SERIES_EVERY_MS = 250;
-    /** The operators'. */
-    private static final long READY_WITHIN = 10_000 * MS;
-    /** Less than a query's bytes, and more than a handful, or a front would have nothing else to do. */
-    private static final int SHORT_BYTES = 200;
-    /** Of loopback's addresses: doors to engines, to fronts, to journals, and the relay's own by front. */
-    private static final int TO_ENGINES = 21 + 10 * Rig.LANE;
-    private static final int TO_FRONTS = TO_ENGINES + 1;
-    private static final int TO_JOURNALS = TO_ENGINES + 2;
-    private static final int OWN = TO_ENGINES + 3;
-
-    private final Timetable table;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final long STEP_MS = 5;
+    private static final int CONCURRENT_STARTS = 8;
+    private static final int MAX_FRONTS = 200;
+    private static final int SIGNALS_PER_SERIES = 100;
+    private static final long SIGNAL_SERIES_INTERVAL_MS = 250;
+    /** The start-up limit that the operators' documentation states. */
+    private static final long READY_WITHIN_NS = 10_000 * NS_PER_MS;
+    /** Less than a query's bytes, but large enough that a front isn't busy with partial reads alone. */
+    private static final int MAX_TRANSFER_BYTES = 200;
+    /** Second octet of loopback addresses: links to engines, fronts and journals, and each front's source. */
+    private static final int ENGINE_LINK_OCTET = 21 + 10 * Rig.LANE;
+    private static final int FRONT_LINK_OCTET = ENGINE_LINK_OCTET + 1;
+    private static final int JOURNAL_LINK_OCTET = ENGINE_LINK_OCTET + 2;
+    private static final int FRONT_SOURCE_OCTET = ENGINE_LINK_OCTET + 3;
+
+    private final Timetable timetable;
     private final long seed;
-    private final SplittableRandom chance;
-    private final Relay relay;
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(8);
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
+    private final SplittableRandom random;
+    private final FaultProxy proxy;
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(8);
+    private final ScheduledExecutorService stepScheduler = Executors.newSingleThreadScheduledExecutor();
     private final List<Front> fronts = new ArrayList<>();
-    private final List<Place> places = new ArrayList<>();
-    private final List<EngineHost> hosts = new ArrayList<>();
-    private final Map<Entry, Set<Integer>> hitFronts = new HashMap<>();
-    private final Map<Entry, Set<Integer>> hitEngines = new HashMap<>();
-    private final Rules rules;
-    private Crowd crowd;
+    private final List<EngineSlot> engineSlots = new ArrayList<>();
+    private final List<SimulatedEngine> startedEngines = new ArrayList<>();
+    private final Map<Entry, Set<Integer>> affectedFronts = new HashMap<>();
+    private final Map<Entry, Set<Integer>> affectedEngines = new HashMap<>();
+    private final RunChecker checker;
+    private SimulatedClients clients;
     private volatile long startedAt;
-    private volatile Throwable failed;
-    private int mostConnections;
+    private volatile Throwable firstFailure;
+    private int maxEngineConnections;
     private final Path home;
-    private final Set<Integer> misbehaves = ConcurrentHashMap.newKeySet();
-    private long lastStep;
-    private volatile long lateMs;
+    private final Set<Integer> frontsWithFaultyClients = ConcurrentHashMap.newKeySet();
+    private long lastStepAt;
+    private volatile long maxStepDelayMs;
 
-    /** One front, over its processes. */
+    /** One front over the restarts of its process. */
     private final class Front {
-        private final int at;
-        private final String listen;
+        private final int index;
+        private final String listenAddress;
         private final JournalStandIn journal;
-        private final Relay.Door clients;
-        private final Relay.Door journals;
-        /** Another address of the same journal, for configurations that move it. */
-        private final Relay.Door otherJournals;
-        private final Relay.Door[] engines = new Relay.Door[table.engines()];
+        private final FaultProxy.ProxiedLink clientLink;
+        private final FaultProxy.ProxiedLink journalLink;
+        /** A second address of the same journal, for reloads that change the address. */
+        private final FaultProxy.ProxiedLink secondJournalLink;
+        private final FaultProxy.ProxiedLink[] engineLinks = new FaultProxy.ProxiedLink[timetable.engines()];
         private final FaultShim shim;
         private volatile Program program;
         private volatile String config;
         private volatile long startedAt;
-        private boolean moved;
-        private volatile boolean startsFail;
-        private final SplittableRandom startFaults;
-
-        private Front(int at) throws IOException, InterruptedException {
-            this.at = at;
-            this.startFaults = new SplittableRandom(seed ^ at);
-            this.shim = table.entries().stream().anyMatch(e -> e.what().ofShim()) ? new FaultShim() : null;
-            this.listen = Program.freeAddress();
+        private boolean usesSecondJournalLink;
+        private volatile boolean failStarts;
+        private final SplittableRandom startFaultRandom;
+
+        private Front(int index) throws IOException, InterruptedException {
+            this.index = index;
+            this.startFaultRandom = new SplittableRandom(seed ^ index);
+            this.shim = timetable.entries().stream().anyMatch(e -> e.what().needsFaultShim())
+                    ? new FaultShim() : null;
+            this.listenAddress = Program.freeAddress();
             this.journal = new JournalStandIn();
-            InetAddress from = Relay.loopback(OWN, 0, at);
-            int port = Integer.parseInt(listen.substring(listen.indexOf(':') + 1));
-            clients = relay.door(TO_FRONTS, 0, at, from,
+            InetAddress sourceAddress = FaultProxy.loopback(FRONT_SOURCE_OCTET, 0, index);
+            int port = Integer.parseInt(listenAddress.substring(listenAddress.indexOf(':') + 1));
+            clientLink = proxy.openLink(FRONT_LINK_OCTET, 0, index, sourceAddress,
                     () -> new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            String address = journal.address();
-            InetSocketAddress service = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    Integer.parseInt(address.substring(address.indexOf(':') + 1)));
-            journals = relay.door(TO_JOURNALS, 0, at, from, () -> service);
-            otherJournals = relay.door(TO_JOURNALS, 1, at, from, () -> service);
-            for (int k = 0; k < table.engines(); k++) {
-                Place place = places.get(k);
-                engines[k] = relay.door(TO_ENGINES, at, k, from, () -> place.host.address());
+            String journalAddress = journal.address();
+            InetSocketAddress journalSocketAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(),
+                    Integer.parseInt(journalAddress.substring(journalAddress.indexOf(':') + 1)));
+            journalLink = proxy.openLink(JOURNAL_LINK_OCTET, 0, index, sourceAddress,
+                    () -> journalSocketAddress);
+            secondJournalLink = proxy.openLink(JOURNAL_LINK_OCTET, 1, index, sourceAddress,
+                    () -> journalSocketAddress);
+            for (int k = 0; k < timetable.engines(); k++) {
+                EngineSlot slot = engineSlots.get(k);
+                engineLinks[k] = proxy.openLink(ENGINE_LINK_OCTET, index, k, sourceAddress,
+                        () -> slot.engine.address());
             }
         }
 
-        private String listing(EngineHost host, String health) {
-            return JournalStandIn.host(host.name, engines[host.at].address(), String.valueOf(table
-                    .site(host.at)),
-                    Terms.kind(table.cores(host.at)), health, host.bornMs);
+        private String listing(SimulatedEngine engine, String health) {
+            return JournalStandIn.host(engine.name, engineLinks[engine.index].address(),
+                    String.valueOf(timetable
+                    .site(engine.index)),
+                    Terms.kind(timetable.cores(engine.index)), health, engine.startedAtMs);
         }
 
         private void start() throws IOException {
-            String[] known = places.stream().map(place -> listing(place.host, place.health))
+            String[] known = engineSlots.stream().map(slot -> listing(slot.engine, slot.health))
                     .toArray(String[]::new);
             int position = journal.position();
-            config = Terms.config(table, at, listen, journals.address(), position,
+            config = Terms.config(timetable, index, listenAddress, journalLink.address(), position,
                     JournalStandIn.event(position, true, known));
-            moved = false;
+            usesSecondJournalLink = false;
             if (shim != null) {
-                // A JVM does not start without threads.
+                // a JVM can't start without threads
                 shim.set(Fault.THREADS_FROM, 0);
             }
-            if (startsFail) {
-                shim.set(Fault.CONFIG_OPENS, 1 + startFaults.nextInt(5));
-                shim.set(Fault.EPOLL_CREATES, startFaults.nextInt(3));
-                shim.set(Fault.EVENTFDS, startFaults.nextInt(2));
-                shim.set(Fault.EPOLL_ADD_AT, 1 + startFaults.nextInt(6));
+            if (failStarts) {
+                shim.set(Fault.CONFIG_OPENS, 1 + startFaultRandom.nextInt(5));
+                shim.set(Fault.EPOLL_CREATES, startFaultRandom.nextInt(3));
+                shim.set(Fault.EVENTFDS, startFaultRandom.nextInt(2));
+                shim.set(Fault.EPOLL_ADD_AT, 1 + startFaultRandom.nextInt(6));
             }
             program = shim == null ? new Program(config, home) : Program.withShim(config, shim, home);
             startedAt = System.nanoTime();
-            clients.open();
+            clientLink.acceptConnections();
         }
 
-        /** Not to one that has ended by then, as it was told to. */
+        /** Sends the signal unless the process has exited already, as it was asked to. */
         private void signal(String name) throws IOException, InterruptedException {
-            unlessEnded(() -> program.signal(name));
+            ifAlive(() -> program.signal(name));
         }
 
-        /** It may end between a look and the signal, too. */
-        private void unlessEnded(Work signals) throws IOException, InterruptedException {
+        /** Runs the task if the process is alive; a failure because of its exit meanwhile is ignored. */
+        private void ifAlive(CheckedRunnable task) throws IOException, InterruptedException {
             try {
                 if (program.process.isAlive()) {
-                    signals.run();
+                    task.run();
                 }
             } catch (AssertionError e) {
                 program.process.waitFor(1, TimeUnit.SECONDS);
@@ -160,297 +165,322 @@
             }
         }
 
-        /** A new configuration: discovery is at its other address. */
+        /** Reloads a configuration that switches to the other journal address. */
         private void reload() throws IOException, InterruptedException {
             if (!program.process.isAlive()) {
-                // It has been told to end, and is started again with the first address.
+                // the process was asked to exit, and starts again with the first address
                 return;
             }
-            moved = !moved;
-            String next = moved ? config.replace("\"" + journals.address() + "\"", "\""
-                    + otherJournals.address()
+            usesSecondJournalLink = !usesSecondJournalLink;
+            String nextConfig = usesSecondJournalLink
+                    ? config.replace("\"" + journalLink.address() + "\"", "\""
+                    + secondJournalLink.address()
                     + "\"") : config;
-            unlessEnded(() -> program.reload(next));
+            ifAlive(() -> program.reload(nextConfig));
         }
 
-        private Relay.Door door(Link link, int engine) {
-            return link == Link.CLIENT ? clients : link == Link.JOURNAL ? journals : engines[engine];
+        private FaultProxy.ProxiedLink link(Link kind, int engine) {
+            return kind == Link.CLIENT ? clientLink : kind == Link.JOURNAL ? journalLink
+                    : engineLinks[engine];
         }
     }
 
-    /** Where one engine after another stands. */
-    private static final class Place {
-        private volatile EngineHost host;
+    /** A position in the fleet that successive engine processes occupy. */
+    private static final class EngineSlot {
+        private volatile SimulatedEngine engine;
         private volatile String health = "ready";
-        private int births;
+        private int startCount;
     }
 
-    private Fleet(Timetable table, long seed, Path home, Rules.Slack slack) throws IOException,
+    private Fleet(Timetable timetable, long seed, Path home,
+            RunChecker.Tolerances tolerances) throws IOException,
             InterruptedException {
-        this.table = table;
+        this.timetable = timetable;
         this.seed = seed;
         this.home = home;
-        this.chance = new SplittableRandom(seed);
-        this.relay = new Relay(seed);
-        this.rules = new Rules(table, seed, slack);
-        for (int k = 0; k < table.engines(); k++) {
-            Place place = new Place();
-            places.add(place);
-            born(k, 0);
+        this.random = new SplittableRandom(seed);
+        this.proxy = new FaultProxy(seed);
+        this.checker = new RunChecker(timetable, seed, tolerances);
+        for (int k = 0; k < timetable.engines(); k++) {
+            EngineSlot slot = new EngineSlot();
+            engineSlots.add(slot);
+            startEngine(k, 0);
         }
-        for (int k = 0; k < table.fronts(); k++) {
+        for (int k = 0; k < timetable.fronts(); k++) {
             fronts.add(new Front(k));
         }
     }
 
-    /** Plays the timetable once; throws what broke, with file, seed and moment. */
-    public static Tally play(Path file, long seed) throws Exception {
-        Timetable table = Timetable.read(file);
-        Rig.require(table.fronts() <= MOST_FRONTS
-                && table.entries().stream().noneMatch(e -> e.what().ofScale()),
-                file + " is for bench/scale");
-        return play(table, seed, Path.of("."), Rules.Slack.LOADED_MACHINE);
+    /** Plays the timetable once; throws on the first broken rule, naming the file, the seed and the time. */
+    public static RunSummary play(Path file, long seed) throws Exception {
+        Timetable timetable = Timetable.read(file);
+        Rig.require(timetable.fronts() <= MAX_FRONTS
+                && timetable.entries().stream().noneMatch(e -> e.what().isScaleOnly()),
+                file + " can be played by bench/scale only");
+        return play(timetable, seed, Path.of("."), RunChecker.Tolerances.LOADED_MACHINE);
     }
 
-    /** The same with the build that stands in {@code home}, and with other limits of the checks. */
-    static Tally play(Timetable table, long seed, Path home, Rules.Slack slack) throws Exception {
-        try (Fleet fleet = new Fleet(table, seed, home, slack)) {
+    /** Plays the timetable with the build in {@code home} and the given tolerances of the checks. */
+    static RunSummary play(Timetable timetable, long seed, Path home,
+            RunChecker.Tolerances tolerances) throws Exception {
+        try (Fleet fleet = new Fleet(timetable, seed, home, tolerances)) {
             return fleet.run();
         }
     }
 
-    private void born(int k, long bornMs) throws IOException {
-        Place place = places.get(k);
-        EngineHost host = new EngineHost(table, k, "e" + k + "-" + place.births++, bornMs);
-        place.health = "ready";
-        place.host = host;
-        synchronized (hosts) {
-            hosts.add(host);
+    private void startEngine(int index, long startedAtMs) throws IOException {
+        EngineSlot slot = engineSlots.get(index);
+        SimulatedEngine engine = new SimulatedEngine(timetable, index, "e" + index + "-" + slot.startCount++,
+                startedAtMs);
+        slot.health = "ready";
+        slot.engine = engine;
+        synchronized (startedEngines) {
+            startedEngines.add(engine);
         }
     }
 
-    private Tally run() throws Exception {
-        for (int from = 0; from < fronts.size(); from += STARTED_AT_ONCE) {
-            List<Front> together = fronts.subList(from, Math.min(fronts.size(), from + STARTED_AT_ONCE));
-            for (Front front : together) {
-                front.journal.tell(true, places.stream().map(p -> front.listing(p.host, "ready"))
+    private RunSummary run() throws Exception {
+        for (int first = 0; first < fronts.size(); first += CONCURRENT_STARTS) {
+            List<Front> batch = fronts.subList(first, Math.min(fronts.size(), first + CONCURRENT_STARTS));
+            for (Front front : batch) {
+                front.journal.tell(true, engineSlots.stream().map(p -> front.listing(p.engine, "ready"))
                         .toArray(String[]::new));
                 front.start();
             }
-            for (Front front : together) {
+            for (Front front : batch) {
                 front.program.ready();
             }
         }
-        crowd = new Crowd(table, chance.nextLong(), fronts.stream().map(f -> f.clients.address())
-                .toArray(String[]::new), later);
-        crowd.greet();
-        relay.watchLateness();
+        clients = new SimulatedClients(timetable, random.nextLong(),
+                fronts.stream().map(f -> f.clientLink.address())
+                .toArray(String[]::new), scheduler);
+        clients.warmUp();
+        proxy.monitorStalls();
         startedAt = System.nanoTime();
-        rules.starts(startedAt);
-        clock.scheduleAtFixedRate(guarded(this::step), STEP, STEP, TimeUnit.MILLISECONDS);
-        later.scheduleAtFixedRate(guarded(() -> fronts.forEach(f -> f.journal.comment())), 0, 500,
+        checker.started(startedAt);
+        stepScheduler.scheduleAtFixedRate(recordingFailure(this::stepEngines), STEP_MS, STEP_MS,
                 TimeUnit.MILLISECONDS);
-        later.scheduleAtFixedRate(guarded(() -> misbehaves.forEach(crowd::misbehave)), 100, 100,
+        scheduler.scheduleAtFixedRate(recordingFailure(() -> fronts.forEach(f -> f.journal.comment())), 0,
+                500,
                 TimeUnit.MILLISECONDS);
-        for (Entry entry : table.entries()) {
-            hitFronts.put(entry, table.frontsOf(entry, seed));
-            hitEngines.put(entry, table.enginesOf(entry, seed));
-            later.schedule(guarded(() -> begins(entry)), entry.at() / 10, TimeUnit.MILLISECONDS);
-            later.schedule(guarded(() -> ends(entry)), entry.until() / 10, TimeUnit.MILLISECONDS);
+        scheduler.scheduleAtFixedRate(recordingFailure(() ->
+                frontsWithFaultyClients.forEach(clients::runFaultyClients)), 100, 100,
+                TimeUnit.MILLISECONDS);
+        for (Entry entry : timetable.entries()) {
+            affectedFronts.put(entry, timetable.frontsOf(entry, seed));
+            affectedEngines.put(entry, timetable.enginesOf(entry, seed));
+            scheduler.schedule(recordingFailure(() -> beginEntry(entry)), entry.at() / 10,
+                    TimeUnit.MILLISECONDS);
+            scheduler.schedule(recordingFailure(() -> endEntry(entry)), entry.until() / 10,
+                    TimeUnit.MILLISECONDS);
         }
-        asks();
-        Thread.sleep((table.length() + table.settle()) / 10);
-        clock.shutdownNow();
-        clock.awaitTermination(5, TimeUnit.SECONDS);
-        later.shutdownNow();
-        if (failed != null) {
-            throw new AssertionError("the rig failed (" + table + ", seed " + seed + ")", failed);
+        scheduleQueries();
+        Thread.sleep((timetable.length() + timetable.settle()) / 10);
+        stepScheduler.shutdownNow();
+        stepScheduler.awaitTermination(5, TimeUnit.SECONDS);
+        scheduler.shutdownNow();
+        if (firstFailure != null) {
+            throw new AssertionError("the test rig failed (" + timetable + ", seed " + seed + ")",
+                    firstFailure);
         }
         for (Front front : fronts) {
-            Rig.require(front.program.process.isAlive() || rules.down(front.at, System.nanoTime()),
-                    "front " + front.at + " ended by itself (" + table + ", seed " + seed + "): "
+            Rig.require(front.program.process.isAlive() || checker.isDown(front.index, System.nanoTime()),
+                    "front " + front.index + " exited unexpectedly (" + timetable + ", seed " + seed + "): "
                             + front.program.log);
-            Rig.require(front.program.logged("serves on") || rules.down(front.at, System.nanoTime())
-                    || System.nanoTime() - front.startedAt < READY_WITHIN,
-                    "front " + front.at + " did not start (" + table + ", seed " + seed + "): "
+            Rig.require(front.program.logged("serves on") || checker.isDown(front.index, System.nanoTime())
+                    || System.nanoTime() - front.startedAt < READY_WITHIN_NS,
+                    "front " + front.index + " did not start (" + timetable + ", seed " + seed + "): "
                             + front.program.log);
-            for (String defect : List.of("a decision failed", "an action failed", "a timer failed",
+            for (String defectLog : List.of("a decision failed", "an action failed", "a timer failed",
                     "closed, fault", "rule would be broken")) {
-                Rig.require(!front.program.logged(defect), defect + " in front " + front.at + " (" + table
+                Rig.require(!front.program.logged(defectLog), defectLog + " in front " + front.index + " ("
+                        + timetable
                         + ", seed "
                         + seed + "): " + front.program.log);
             }
         }
-        List<EngineHost> all = List.copyOf(hosts);
-        List<EngineHost.Attempt> attempts = all.stream().flatMap(h -> h.attempts().stream()).toList();
-        rules.rigWasLate(Math.max(lateMs, relay.lateMs()));
-        Tally tally = rules.check(crowd.tries(), attempts, all);
-        double[] threads = IntStream.range(0, table.engines()).mapToDouble(k -> all.stream().filter(h ->
-                h.at == k)
-                .mapToDouble(EngineHost::threadTime).sum()).toArray();
-        double mean = Arrays.stream(threads).average().orElse(1);
-        return tally.with(Arrays.stream(threads).max().orElse(0) / mean, Arrays.stream(threads).min()
+        List<SimulatedEngine> engines = List.copyOf(startedEngines);
+        List<SimulatedEngine.Submission> submissions = engines.stream().flatMap(h -> h.submissions().stream())
+                .toList();
+        checker.recordRigStall(Math.max(maxStepDelayMs, proxy.longestStallMs()));
+        RunSummary summary = checker.check(clients.requests(), submissions, engines);
+        double[] threadsByEngine = IntStream.range(0, timetable.engines())
+                .mapToDouble(k -> engines.stream().filter(h ->
+                h.index == k)
+                .mapToDouble(SimulatedEngine::threadTicksPerCore).sum()).toArray();
+        double mean = Arrays.stream(threadsByEngine).average().orElse(1);
+        return summary.withEngineLoad(Arrays.stream(threadsByEngine).max().orElse(0) / mean,
+                Arrays.stream(threadsByEngine).min()
                 .orElse(0) / mean,
-                mostConnections, callsTogether());
+                maxEngineConnections, peakJournalCalls());
     }
 
-    /** The most calls that came to the journals within a tenth of a second. */
-    private int callsTogether() {
-        long[] calls = fronts.stream().flatMap(f -> f.journal.calledAt.stream()).mapToLong(Long::longValue)
+    /** The highest number of calls to the journals within 100 ms. */
+    private int peakJournalCalls() {
+        long[] callTimes = fronts.stream().flatMap(f -> f.journal.calledAt.stream())
+                .mapToLong(Long::longValue)
                 .filter(at -> at > startedAt).sorted().toArray();
-        int most = 0;
-        for (int from = 0, to = 0; to < calls.length; to++) {
-            while (calls[to] - calls[from] > 100 * MS) {
-                from++;
+        int peak = 0;
+        for (int first = 0, last = 0; last < callTimes.length; last++) {
+            while (callTimes[last] - callTimes[first] > 100 * NS_PER_MS) {
+                first++;
             }
-            most = Math.max(most, to - from + 1);
+            peak = Math.max(peak, last - first + 1);
         }
-        return most;
+        return peak;
     }
 
-    private Runnable guarded(Work work) {
+    private Runnable recordingFailure(CheckedRunnable task) {
         return () -> {
             try {
-                work.run();
+                task.run();
             } catch (Throwable e) {
-                failed = failed == null ? e : failed;
+                firstFailure = firstFailure == null ? e : firstFailure;
             }
         };
     }
 
-    private interface Work {
+    private interface CheckedRunnable {
         void run() throws Exception;
     }
 
-    private void step() {
+    private void stepEngines() {
         long now = System.nanoTime();
-        // A pause of this process itself delays all that engines and clients do, and what they see.
-        lateMs = lastStep == 0 ? 0 : Math.max(lateMs, (now - lastStep) / MS - STEP);
-        lastStep = now;
-        places.forEach(place -> place.host.step(STEP * 10));
-        mostConnections = Math.max(mostConnections, IntStream.range(0, table.engines()).map(k -> fronts
+        // A pause of this process delays the simulated engines and clients, and distorts their measurements.
+        maxStepDelayMs = lastStepAt == 0 ? 0
+                : Math.max(maxStepDelayMs, (now - lastStepAt) / NS_PER_MS - STEP_MS);
+        lastStepAt = now;
+        engineSlots.forEach(slot -> slot.engine.step(STEP_MS * 10));
+        maxEngineConnections = Math.max(maxEngineConnections, IntStream.range(0, timetable.engines())
+                .map(k -> fronts
                 .stream()
-                .mapToInt(f -> f.engines[k].connections()).sum()).max().orElse(0));
+                .mapToInt(f -> f.engineLinks[k].connectionCount()).sum()).max().orElse(0));
     }
 
-    /** The moments of all queries, drawn ahead. */
-    private void asks() {
-        long at = 0;
-        while (at < table.length()) {
-            long now = at;
-            double rate = table.perSecond() * table.entries().stream().filter(e -> e.what() == What.BURST
-                    && now >= e.at() && now < e.until()).mapToDouble(Entry::times).max().orElse(1);
-            at += Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * 10_000 / rate));
-            later.schedule(guarded(() -> crowd.ask()), at * 100, TimeUnit.MICROSECONDS);
+    /** Draws the times of all queries and schedules them. */
+    private void scheduleQueries() {
+        long sendTicks = 0;
+        while (sendTicks < timetable.length()) {
+            long currentTicks = sendTicks;
+            double rate = timetable.queriesPerSecond() * timetable.entries().stream()
+                    .filter(e -> e.what() == What.BURST
+                    && currentTicks >= e.at() && currentTicks < e.until()).mapToDouble(Entry::times).max()
+                    .orElse(1);
+            sendTicks += Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 10_000 / rate));
+            scheduler.schedule(recordingFailure(() -> clients.sendNewQuery()), sendTicks * 100,
+                    TimeUnit.MICROSECONDS);
         }
     }
 
-    private Relay.Manner manner(int front, Link link, int engine) {
-        Relay.Manner manner = Relay.Manner.PLAIN;
-        long now = (System.nanoTime() - startedAt) / 100_000;
-        for (Entry e : table.entries()) {
-            if (e.what().ofLinks() && e.link() == link && hitFronts.containsKey(e) && now >= e.at() - 5
-                    && now < e.until() - 5 && hitFronts.get(e).contains(front)
-                    && (link != Link.ENGINE || hitEngines.get(e).contains(engine))) {
-                manner = new Relay.Manner(manner.cutThere() || e.what() == What.CUT || e
+    private FaultProxy.LinkCondition linkCondition(int front, Link kind, int engine) {
+        FaultProxy.LinkCondition condition = FaultProxy.LinkCondition.UNIMPAIRED;
+        long elapsedTicks = (System.nanoTime() - startedAt) / 100_000;
+        for (Entry e : timetable.entries()) {
+            if (e.what().affectsLinks() && e.link() == kind && affectedFronts.containsKey(e)
+                    && elapsedTicks >= e.at() - 5
+                    && elapsedTicks < e.until() - 5 && affectedFronts.get(e).contains(front)
+                    && (kind != Link.ENGINE || affectedEngines.get(e).contains(engine))) {
+                condition = new FaultProxy.LinkCondition(condition.cutTowardsTarget() || e.what() == What.CUT
+                        || e
                         .what() == What.CUT_THERE,
-                        manner.cutBack() || e.what() == What.CUT || e.what() == What.CUT_BACK,
-                        manner.delayMs() + (e.what() == What.DELAY ? e.by() / 10 : 0),
-                        e.what() == What.THROTTLE ? e.rate() : manner.rate());
+                        condition.cutTowardsClient() || e.what() == What.CUT || e.what() == What.CUT_BACK,
+                        condition.delayMs() + (e.what() == What.DELAY ? e.byTicks() / 10 : 0),
+                        e.what() == What.THROTTLE ? e.bytesPerSecond() : condition.bytesPerSecond());
             }
         }
-        return manner;
+        return condition;
     }
 
-    private void links(Entry entry, boolean begins) {
-        for (int f : hitFronts.get(entry)) {
-            Set<Integer> far = entry.link() == Link.ENGINE ? hitEngines.get(entry) : Set.of(0);
-            for (int e : far) {
-                Relay.Door door = fronts.get(f).door(entry.link(), e);
+    private void applyLinkFault(Entry entry, boolean begins) {
+        for (int frontIndex : affectedFronts.get(entry)) {
+            Set<Integer> peers = entry.link() == Link.ENGINE ? affectedEngines.get(entry) : Set.of(0);
+            for (int peer : peers) {
+                FaultProxy.ProxiedLink link = fronts.get(frontIndex).link(entry.link(), peer);
                 switch (entry.what()) {
                     case REFUSE -> {
                         if (begins) {
-                            door.refuse();
-                            door.reset(false);
+                            link.refuseConnections();
+                            link.reset(false);
                         } else {
-                            door.open();
+                            link.acceptConnections();
                         }
                     }
                     case RESET, HALF_OPEN -> {
                         if (begins) {
-                            door.reset(entry.what() == What.HALF_OPEN);
+                            link.reset(entry.what() == What.HALF_OPEN);
                         }
                     }
-                    default -> door.manner(manner(f, entry.link(), e));
+                    default -> link.condition(linkCondition(frontIndex, entry.link(), peer));
                 }
             }
         }
     }
 
-    private void begins(Entry entry) throws Exception {
-        rules.begins(entry, hitFronts.get(entry), hitEngines.get(entry));
-        if (entry.what().ofLinks()) {
-            links(entry, true);
+    private void beginEntry(Entry entry) throws Exception {
+        checker.begins(entry, affectedFronts.get(entry), affectedEngines.get(entry));
+        if (entry.what().affectsLinks()) {
+            applyLinkFault(entry, true);
             return;
         }
-        if (entry.what().ofEngines()) {
-            engines(entry, true);
+        if (entry.what().affectsEngines()) {
+            setEngineFault(entry, true);
             return;
         }
-        for (int f : hitFronts.get(entry)) {
-            Front front = fronts.get(f);
+        for (int frontIndex : affectedFronts.get(entry)) {
+            Front front = fronts.get(frontIndex);
             switch (entry.what()) {
                 case KILL -> {
-                    rules.kills(f);
-                    front.clients.refuse();
+                    checker.killed(frontIndex);
+                    front.clientLink.refuseConnections();
                     front.program.close();
-                    front.clients.reset(false);
+                    front.clientLink.reset(false);
                 }
                 case LEAVE -> {
                     front.signal("-TERM");
-                    later.schedule(guarded(() -> {
-                        // New connections are gone elsewhere by now; open ones are used until they end.
-                        crowd.leaves(f, true);
-                        front.clients.refuse();
+                    scheduler.schedule(recordingFailure(() -> {
+                        // From now on new connections go to other fronts; open ones stay in use.
+                        clients.setDraining(frontIndex, true);
+                        front.clientLink.refuseConnections();
                     }), 300, TimeUnit.MILLISECONDS);
                 }
                 case STOP -> {
-                    rules.stops(f);
+                    checker.paused(frontIndex);
                     front.signal("-STOP");
                 }
-                case SIGNALS -> inSeries(front, entry.span() / 10);
+                case SIGNALS -> sendSignalSeries(front, entry.span() / 10);
                 case RELOAD -> {
                     for (int k = 0; k < entry.times(); k++) {
-                        later.schedule(guarded(front::reload), (long) (entry.span() / 10 * k / entry.times()),
+                        scheduler.schedule(recordingFailure(front::reload),
+                                (long) (entry.span() / 10 * k / entry.times()),
                                 TimeUnit.MILLISECONDS);
                     }
                 }
-                default -> bends(entry, front, true);
+                default -> setFrontOrClientFault(entry, front, true);
             }
         }
     }
 
-    /** Signals in series, while the file that they are about is away, and one once it is back. */
-    private void inSeries(Front front, long spanMs) {
-        later.execute(guarded(() -> {
+    /** Sends series of SIGHUP while the configuration file is missing, and one once it is restored. */
+    private void sendSignalSeries(Front front, long spanMs) {
+        scheduler.execute(recordingFailure(() -> {
             Path file = front.program.file();
-            Path away = file.resolveSibling(file.getFileName() + ".away");
-            Files.move(file, away);
+            Path hiddenFile = file.resolveSibling(file.getFileName() + ".away");
+            Files.move(file, hiddenFile);
             try {
-                long until = System.nanoTime() + spanMs / 2 * MS;
-                while (System.nanoTime() < until && front.program.process.isAlive()) {
-                    front.unlessEnded(() -> front.program.signals("HUP", SIGNALS_IN_SERIES));
-                    Thread.sleep(SERIES_EVERY_MS);
+                long endsAt = System.nanoTime() + spanMs / 2 * NS_PER_MS;
+                while (System.nanoTime() < endsAt && front.program.process.isAlive()) {
+                    front.ifAlive(() -> front.program.signals("HUP", SIGNALS_PER_SERIES));
+                    Thread.sleep(SIGNAL_SERIES_INTERVAL_MS);
                 }
             } finally {
-                Files.move(away, file, StandardCopyOption.REPLACE_EXISTING);
+                Files.move(hiddenFile, file, StandardCopyOption.REPLACE_EXISTING);
             }
             front.signal("-HUP");
         }));
     }
 
-    /** Faults of system calls, and clients that misbehave. */
-    private void bends(Entry entry, Front front, boolean on) {
+    /** Turns faults of system calls or a behaviour of faulty clients on or off. */
+    private void setFrontOrClientFault(Entry entry, Front front, boolean on) {
         switch (entry.what()) {
             case ACCEPT_FAILS -> front.shim.set(Fault.ACCEPT_EVERY, on ? (long) entry.times() : 0);
             case CONNECT_FAILS -> {
@@ -460,135 +490,140 @@
             case INTERRUPTS -> {
                 front.shim.set(Fault.READ_EVERY, on ? 3 : 0);
                 front.shim.set(Fault.WRITE_EVERY, on ? 3 : 0);
-                front.shim.set(Fault.SHORT_BYTES, on ? SHORT_BYTES : 0);
+                front.shim.set(Fault.SHORT_BYTES, on ? MAX_TRANSFER_BYTES : 0);
             }
-            case CLOCK_FORWARD -> front.shim.set(Fault.CLOCK_STEP_MS, on ? entry.by() / 10 : 0);
-            case CLOCK_BACK -> front.shim.set(Fault.CLOCK_STEP_MS, on ? -entry.by() / 10 : 0);
+            case CLOCK_FORWARD -> front.shim.set(Fault.CLOCK_STEP_MS, on ? entry.byTicks() / 10 : 0);
+            case CLOCK_BACK -> front.shim.set(Fault.CLOCK_STEP_MS, on ? -entry.byTicks() / 10 : 0);
             case NO_THREADS -> front.shim.set(Fault.THREADS_FROM, on ? 1 : 0);
-            case START_FAILS -> front.startsFail = on;
+            case START_FAILS -> front.failStarts = on;
             case GIVE_UP, SLOW_CLIENTS, BAD_CLIENTS, PIPELINE, IDLE_CROWD, COPIED_TRACES -> {
-                crowd.manner(entry.what(), on);
+                clients.setBehaviour(entry.what(), on);
                 if (on) {
-                    misbehaves.add(front.at);
+                    frontsWithFaultyClients.add(front.index);
                 }
             }
             default -> {
-                // asked for when it matters, or over by its time
+                // evaluated where the fault applies, or ends by itself
             }
         }
     }
 
-    private void ends(Entry entry) throws Exception {
-        if (entry.what().ofLinks()) {
-            links(entry, false);
+    private void endEntry(Entry entry) throws Exception {
+        if (entry.what().affectsLinks()) {
+            applyLinkFault(entry, false);
             return;
         }
-        if (entry.what().ofEngines()) {
-            engines(entry, false);
+        if (entry.what().affectsEngines()) {
+            setEngineFault(entry, false);
             return;
         }
-        for (int f : hitFronts.get(entry)) {
-            Front front = fronts.get(f);
+        for (int frontIndex : affectedFronts.get(entry)) {
+            Front front = fronts.get(frontIndex);
             switch (entry.what()) {
                 case KILL, LEAVE -> {
                     if (entry.what() == What.LEAVE) {
-                        rules.left(f, !front.program.process.isAlive());
+                        checker.recordShutdown(frontIndex, !front.program.process.isAlive());
                     }
-                    rules.kills(f);
+                    checker.killed(frontIndex);
                     front.program.close();
                     front.start();
-                    crowd.leaves(f, false);
+                    clients.setDraining(frontIndex, false);
                     if (entry.what() == What.LEAVE) {
-                        rules.startsAfterItsEnd(f);
+                        checker.startedAfterShutdown(frontIndex);
                     } else {
-                        rules.starts(f);
+                        checker.started(frontIndex);
                     }
                 }
                 case STOP -> {
                     front.signal("-CONT");
-                    rules.goesOn(f);
+                    checker.resumed(frontIndex);
                 }
-                default -> bends(entry, front, false);
+                default -> setFrontOrClientFault(entry, front, false);
             }
         }
     }
 
-    private void engines(Entry entry, boolean on) {
-        int k = 0;
-        for (int e : hitEngines.get(entry)) {
-            Place place = places.get(e);
+    private void setEngineFault(Entry entry, boolean on) {
+        int replaced = 0;
+        for (int engineIndex : affectedEngines.get(entry)) {
+            EngineSlot slot = engineSlots.get(engineIndex);
             switch (entry.what()) {
-                case FAIL -> place.host.fails(on);
-                case SLOW -> place.host.slower(on ? entry.times() : 1);
-                case SILENT -> place.host.silent(on);
-                case LIE -> place.host.lies(on);
-                case STUCK -> place.host.stuck(on);
-                case MUTE -> place.host.mute(on);
-                case HANG -> place.host.hangs(on);
-                case FORGET -> place.host.forgets(on);
-                case COPIES -> place.host.copies(on);
-                case SPOIL -> place.host.spoils(on);
+                case FAIL -> slot.engine.failing(on);
+                case SLOW -> slot.engine.setSlowdown(on ? entry.times() : 1);
+                case SILENT -> slot.engine.silent(on);
+                case LIE -> slot.engine.reportingIdle(on);
+                case STUCK -> slot.engine.frozenLoad(on);
+                case MUTE -> slot.engine.reportingNothing(on);
+                case HANG -> slot.engine.hanging(on);
+                case FORGET -> slot.engine.closingIdle(on);
+                case COPIES -> slot.engine.duplicating(on);
+                case SPOIL -> slot.engine.malforming(on);
                 case DRAIN -> {
-                    // One that was replaced meanwhile is another's.
-                    if (on == place.health.equals("ready")) {
-                        place.health = on ? "draining" : "ready";
-                        tell(place.host, place.health);
+                    // An engine that was replaced meanwhile keeps the health of its replacement.
+                    if (on == slot.health.equals("ready")) {
+                        slot.health = on ? "draining" : "ready";
+                        announceHealth(slot.engine, slot.health);
                     }
                 }
                 default -> {
                     if (on) {
-                        later.schedule(guarded(() -> replace(e)), entry.span() / 10 * k++
-                                / Math.max(1, hitEngines.get(entry).size()), TimeUnit.MILLISECONDS);
+                        scheduler.schedule(recordingFailure(() -> replaceEngine(engineIndex)),
+                                entry.span() / 10 * replaced++
+                                / Math.max(1, affectedEngines.get(entry).size()), TimeUnit.MILLISECONDS);
                     }
                 }
             }
         }
     }
 
-    /** Drains, goes a second later with what it still holds, and a new one comes to its place, cold. */
-    private void replace(int k) {
-        Place place = places.get(k);
-        place.health = "draining";
-        tell(place.host, "draining");
-        later.schedule(guarded(() -> {
-            place.health = "gone";
-            tell(place.host, "gone");
-            place.host.dies();
-            born(k, System.currentTimeMillis());
-            later.schedule(guarded(() -> tell(place.host, "ready")), 200, TimeUnit.MILLISECONDS);
+    /** Drains the engine, ends it a second later with what it still runs, and starts a cold successor. */
+    private void replaceEngine(int index) {
+        EngineSlot slot = engineSlots.get(index);
+        slot.health = "draining";
+        announceHealth(slot.engine, "draining");
+        scheduler.schedule(recordingFailure(() -> {
+            slot.health = "gone";
+            announceHealth(slot.engine, "gone");
+            slot.engine.crash();
+            startEngine(index, System.currentTimeMillis());
+            scheduler.schedule(recordingFailure(() -> announceHealth(slot.engine, "ready")), 200,
+                    TimeUnit.MILLISECONDS);
         }), 1_000, TimeUnit.MILLISECONDS);
     }
 
-    /** To each front in its own journal, later to some; the order of one engine's news is kept. */
-    private void tell(EngineHost host, String health) {
-        long now = (System.nanoTime() - startedAt) / 100_000;
+    /**
+     * Announces the health in each front's journal, with a lag for some; events of an engine stay in order.
+     */
+    private void announceHealth(SimulatedEngine engine, String health) {
+        long elapsedTicks = (System.nanoTime() - startedAt) / 100_000;
         for (Front front : fronts) {
-            long lag = 0;
-            for (Entry e : table.entries()) {
-                lag += e.what() == What.LATE_LIST && now >= e.at() && now < e.until()
-                        && hitFronts.get(e).contains(front.at) ? e.by() * ((front.at * 7 + host.at * 3) % 8)
+            long lagMs = 0;
+            for (Entry e : timetable.entries()) {
+                lagMs += e.what() == What.LATE_LIST && elapsedTicks >= e.at() && elapsedTicks < e.until()
+                        && affectedFronts.get(e).contains(front.index)
+                        ? e.byTicks() * ((front.index * 7 + engine.index * 3) % 8)
                                 / 80 : 0;
             }
-            later.schedule(guarded(() -> {
-                front.journal.tell(false, front.listing(host, health));
-                rules.told(front.at, host.name, health);
-            }), lag, TimeUnit.MILLISECONDS);
+            scheduler.schedule(recordingFailure(() -> {
+                front.journal.tell(false, front.listing(engine, health));
+                checker.announced(front.index, engine.name, health);
+            }), lagMs, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public void close() throws IOException {
-        clock.shutdownNow();
-        later.shutdownNow();
+        stepScheduler.shutdownNow();
+        scheduler.shutdownNow();
         for (Front front : fronts) {
             if (front.program != null) {
                 front.program.close();
             }
             front.journal.close();
         }
-        for (EngineHost host : hosts) {
-            host.close();
+        for (SimulatedEngine engine : startedEngines) {
+            engine.close();
         }
-        relay.close();
+        proxy.close();
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/Fleets.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleets.java
@@ -9,23 +9,26 @@
 import java.util.stream.Stream;
 import reedspring.settings.SettingsException;
 
-/** {@code [--seed N] [--short] [FILE ...]}: each timetable on processes and in virtual time; bench/fleet. */
+/**
+ * Plays each timetable on processes and in virtual time, started by bench/fleet:
+ * {@code [--seed N] [--short] [FILE ...]}.
+ */
 public final class Fleets {
-    private static final int USAGE = 64;
-    private static final int UNUSABLE = 78;
-    /** Fronts and engines in virtual time, with the load grown as the engines are. */
-    private static final int[][] SIZES = {{1, 6}, {3, 6}, {12, 12}, {100, 40}, {200, 80}};
+    private static final int EXIT_USAGE = 64;
+    private static final int EXIT_UNUSABLE_TIMETABLE = 78;
+    /** Numbers of fronts and engines in virtual time; the load grows in proportion to the engines. */
+    private static final int[][] VIRTUAL_SIZES = {{1, 6}, {3, 6}, {12, 12}, {100, 40}, {200, 80}};
 
     private Fleets() {
     }
 
     public static void main(String[] args) throws IOException {
         long seed = 1;
-        boolean shortly = false;
+        boolean skipsLargest = false;
         List<Path> files = new ArrayList<>();
         for (int k = 0; k < args.length; k++) {
             if (args[k].equals("--short")) {
-                shortly = true;
+                skipsLargest = true;
             } else if (args[k].equals("--seed") && k + 1 < args.length && args[k + 1]
                     .matches("[0-9]{1,18}")) {
                 seed = Long.parseLong(args[++k]);
@@ -33,7 +36,7 @@
                 files.add(Path.of(args[k]));
             } else {
                 System.err.println("usage: bench/fleet [--seed N] [--short] [FILE ...]");
-                System.exit(USAGE);
+                System.exit(EXIT_USAGE);
             }
         }
         if (files.isEmpty()) {
@@ -42,27 +45,28 @@
                         && !file.getFileName().toString().startsWith("scale-")).sorted().forEach(files::add);
             }
         }
-        System.exit(play(files, seed, shortly));
+        System.exit(playAll(files, seed, skipsLargest));
     }
 
-    private static int play(List<Path> files, long seed, boolean shortly) {
+    private static int playAll(List<Path> files, long seed, boolean skipsLargest) {
         int broken = 0;
         int runs = 0;
         for (Path file : files) {
             try {
-                Timetable table = Timetable.read(file);
-                for (int[] size : SIZES) {
-                    if (!shortly || size[0] <= 100) {
+                Timetable timetable = Timetable.read(file);
+                for (int[] size : VIRTUAL_SIZES) {
+                    if (!skipsLargest || size[0] <= 100) {
                         runs++;
-                        broken += guarded(table + " virtual " + size[0] + "x" + size[1],
-                                () -> figures(new VirtualFleet(table.sized(size[0], size[1]), seed).play()));
+                        broken += countFailure(timetable + " virtual " + size[0] + "x" + size[1],
+                                () -> formatFigures(new VirtualFleet(timetable.sized(size[0], size[1]), seed)
+                                .play()));
                     }
                 }
                 runs++;
-                broken += guarded(table + " processes", () -> Fleet.play(file, seed).toString());
+                broken += countFailure(timetable + " processes", () -> Fleet.play(file, seed).toString());
             } catch (SettingsException e) {
                 System.err.println(e.getMessage());
-                return UNUSABLE;
+                return EXIT_UNUSABLE_TIMETABLE;
             }
         }
         System.out.println("runs=" + runs + " broken=" + broken + " seed=" + seed);
@@ -73,7 +77,7 @@
         String play() throws Exception;
     }
 
-    private static int guarded(String name, Run run) {
+    private static int countFailure(String name, Run run) {
         try {
             System.err.println(name + ": " + run.play());
             return 0;
@@ -83,10 +87,11 @@
         }
     }
 
-    private static String figures(VirtualFleet fleet) {
+    private static String formatFigures(VirtualFleet fleet) {
         return String.format(Locale.ROOT,
                 "served=%.3f busiest=%.2f idlest=%.2f most_threads=%.1f backs=%d %s",
-                fleet.served(), fleet.unevenness(), fleet.idlest(), fleet.mostThreads(), fleet.mostBacks(),
+                fleet.served(), fleet.busiestRatio(), fleet.idlestRatio(), fleet.mostThreads(),
+                fleet.peakRetries(),
                 fleet.counts());
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -26,165 +26,173 @@
 import reedspring.rig.fleet.Timetable.What;
 
 /**
- * Shows that the soak's checks see faults: builds of the program with one fault each put in on purpose,
- * played under troubles that bring it out. Each has to be found, for the reason that it breaks;
- * bench/mutants.
+ * Mutation tests of the soak's checks, started by bench/mutants: builds the program with one deliberate fault
+ * at a time, and plays a timetable that exposes it. A check has to find each fault for the right reason.
  */
 public final class Mutants {
     private static final Path SOURCES = Path.of("src/main/java/reedspring");
-    private static final Path MADE = Path.of("target/mutants");
-    private static final long SECOND = 10_000;
-    private static final int AT_ONCE = 2;
-    private static final int TRIES = 2;
-    private static final String DID_NOT_START = "ended by itself|did not start";
+    private static final Path MUTANT_HOMES = Path.of("target/mutants");
+    private static final long TICKS_PER_SECOND = 10_000;
+    private static final int PARALLEL_RUNS = 2;
+    private static final int MAX_RUNS_PER_MUTANT = 2;
+    private static final String DID_NOT_START = "exited unexpectedly|did not start";
 
     /**
      * One change of a source file.
      *
-     * @param file below the program's package
-     * @param find what stands there once
-     * @param instead what stands there in the mutant
+     * @param file path below the program's package
+     * @param find text that occurs exactly once in the file
+     * @param replacement text that replaces it in the mutant
      */
-    record Change(String file, String find, String instead) {
+    record Change(String file, String find, String replacement) {
     }
 
     /**
-     * One fault. Where the program holds a rule in two places, it takes two changes to break it.
+     * One fault. A rule that the program enforces in two places takes two changes to break.
      *
-     * @param breach words of the checks that may find it, with a bar between them
+     * @param expectedBreaches fragments of the check messages that may report the fault, separated by bars
      */
-    record Mutant(String name, List<Change> changes, Timetable day, String breach) {
-        Mutant(String name, String file, String find, String instead, Timetable day, String breach) {
-            this(name, List.of(new Change(file, find, instead)), day, breach);
+    record Mutant(String name, List<Change> changes, Timetable timetable, String expectedBreaches) {
+        Mutant(String name, String file, String find, String replacement, Timetable timetable,
+                String expectedBreaches) {
+            this(name, List.of(new Change(file, find, replacement)), timetable, expectedBreaches);
         }
     }
 
     private Mutants() {
     }
 
-    private static Timetable day(String name, Entry... troubles) {
+    private static Timetable timetable(String name, Entry... entries) {
         Mix mix = new Mix(8, 4, new double[] {80, 500, 60}, new double[] {60, 200, 60});
-        return new Timetable("mutant " + name, 4, 5, 1, new double[] {8}, 4_096, 8 * SECOND, 6 * SECOND, 70,
+        return new Timetable("mutant " + name, 4, 5, 1, new double[] {8}, 4_096, 8 * TICKS_PER_SECOND,
+                6 * TICKS_PER_SECOND, 70,
                 mix,
-                0, 1, 200, 3, 1, List.of(troubles));
+                0, 1, 200, 3, 1, List.of(entries));
     }
 
-    private static Entry trouble(What what, double atSeconds, double seconds, double times) {
-        return new Entry(what.name(), (long) (atSeconds * SECOND), (long) (seconds * SECOND), what,
+    private static Entry entry(What type, double atSeconds, double seconds, double times) {
+        return new Entry(type.name(), (long) (atSeconds * TICKS_PER_SECOND),
+                (long) (seconds * TICKS_PER_SECOND), type,
                 Link.ENGINE,
-                "all", "60%", 3_600 * SECOND, times, 1 << 20);
+                "all", "60%", 3_600 * TICKS_PER_SECOND, times, 1 << 20);
     }
 
     static List<Mutant> all() {
-        Entry stop = trouble(What.STOP, 3, 1, 1);
+        Entry stop = entry(What.STOP, 3, 1, 1);
         return List.of(
                 new Mutant("accept-pause", "net/AcceptGuard.java", "        failed = true;\n",
                         "        ctx.fireExceptionCaught(cause);\n        if (cause != null) {\n"
                                 + "            return;\n        }\n        failed = true;\n",
-                        day("accept-pause", trouble(What.ACCEPT_FAILS, 1, 6, 2),
-                                trouble(What.PIPELINE, 1, 6, 1), trouble(What.BAD_CLIENTS, 1, 6, 1),
-                                trouble(What.GIVE_UP, 1, 6, 1)), "past its time|no answer|told to take"),
+                        timetable("accept-pause", entry(What.ACCEPT_FAILS, 1, 6, 2),
+                                entry(What.PIPELINE, 1, 6, 1), entry(What.BAD_CLIENTS, 1, 6, 1),
+                                entry(What.GIVE_UP, 1, 6, 1)),
+                                "past its deadline|no answer|engine timeout of"),
                 new Mutant("arrival-is-now", "net/ClientConnection.java", "socket.earliestArrival()",
-                        "front.clock().now()", day("arrival-is-now", stop), "told to take"),
+                        "front.clock().now()", timetable("arrival-is-now", stop), "engine timeout of"),
                 new Mutant("no-look-for-closes", "net/Front.java", "s.over || s.query.client.there();",
-                        "s.over || s != null;", day("no-look-for-closes", trouble(What.GIVE_UP, 1, 6, 1),
-                                stop, trouble(What.BAD_CLIENTS, 1, 6, 1)), "after its client had gone"),
+                        "s.over || s != null;", timetable("no-look-for-closes", entry(What.GIVE_UP, 1, 6, 1),
+                                stop, entry(What.BAD_CLIENTS, 1, 6, 1)), "after its client had left"),
                 new Mutant("drains-unheard", List.of(
                         new Change("Control.java", "            if (!up[k] || group.zones()",
                                 "            if (fleet.get(k).gone || group.zones()"),
                         new Change("net/Engines.java",
                                 "link.up = host.listing().health() == Event.Health.UP;",
                                 "link.up = host.listing().health() != Event.Health.GONE;")),
-                        day("drains-unheard", trouble(What.DRAIN, 2, 4, 1)), "told to drain"),
+                        timetable("drains-unheard", entry(What.DRAIN, 2, 4, 1)), "after the drain notice"),
                 new Mutant("repeats-anything", "core/policy/RepeatPolicy.java",
                         "return !mayHaveRun || group.effect() != Effect.MUTATING;",
-                        "return group != null || mayHaveRun;", day("repeats-anything",
-                                trouble(What.RESET, 3, 1, 1), trouble(What.FAIL, 2, 3, 1)),
-                                        "a change was run"),
+                        "return group != null || mayHaveRun;", timetable("repeats-anything",
+                                entry(What.RESET, 3, 1, 1), entry(What.FAIL, 2, 3, 1)),
+                                        "a mutating query ran"),
                 new Mutant("defers-anything", "core/policy/RepeatPolicy.java",
                         "return !mayHaveRun || group.effect() == Effect.READ_ONLY",
-                        "return group != null || group.effect() == Effect.READ_ONLY", day("defers-anything",
-                                trouble(What.FAIL, 2, 4, 1)), "may have run was deferred"),
+                        "return group != null || group.effect() == Effect.READ_ONLY",
+                        timetable("defers-anything",
+                                entry(What.FAIL, 2, 4, 1)), "may have run was deferred"),
                 new Mutant("ends-unanswered", "net/ClientConnection.java",
                         "        List.copyOf(open.values()).forEach(front::giveUp);\n", "",
-                        day("ends-unanswered", trouble(What.BAD_CLIENTS, 1, 6, 1)), "lost unanswered"),
+                        timetable("ends-unanswered", entry(What.BAD_CLIENTS, 1, 6, 1)),
+                        "lost without an answer"),
                 new Mutant("cold-unheeded", "spread/Spread.java",
                         "        Deployment.ColdStart rule = house.coldStart();\n        if (now - bornAt",
                         "        Deployment.ColdStart rule = house.coldStart();\n        if (now >= 0) {\n"
                                 + "            return true;\n        }\n        if (now - bornAt",
-                        coldDay("cold-unheeded"), "cold engine pushed over"),
+                        coldEngineTimetable("cold-unheeded"), "cold engine overloaded"),
                 new Mutant("wall-clock-believed", List.of(
                         new Change("net/Clock.java",
                                 "EngineStartTime.estimate(ms * 10, now(), unix.getAsLong())",
                                 "EngineStartTime.estimate(0, 0, 0) + now() + ms * 10 - unix.getAsLong()"),
                         new Change("net/Journal.java", "EngineStartTime.ofNewEngine(estimate, lastHeard)",
                                 "EngineStartTime.ofNewEngine(estimate, 0)")),
-                        coldDay("wall-clock-believed"), "cold engine pushed over"),
+                        coldEngineTimetable("wall-clock-believed"), "cold engine overloaded"),
                 new Mutant("answers-late", "net/Front.java", "arrivedAt + Times.nearest(patience)),",
-                        "arrivedAt + Times.nearest(patience) + 20_000),", day("answers-late",
-                                trouble(What.SILENT, 2, 4, 1)), "past its time|told to take"),
+                        "arrivedAt + Times.nearest(patience) + 20_000),", timetable("answers-late",
+                                entry(What.SILENT, 2, 4, 1)), "past its deadline|engine timeout of"),
                 new Mutant("answers-twice", "net/Front.java",
                         "            q.client.rows(q, List.of(s.pages));\n",
                         "            q.client.rows(q, List.of(s.pages));\n"
                                 + "            q.client.rows(q, List.of(s.pages));\n",
-                        day("answers-twice"), "answered twice"),
+                        timetable("answers-twice"), "answered twice"),
                 new Mutant("sends-twice", "net/EngineConnection.java",
                         "        // Past the handler that gathers flushes until the turn's end.\n",
                         "        channel.write(message(q.statement.retainedDuplicate(), \"fetch\", q.trace,\n"
                                 + "                \"lane=\" + q.group + \",ttl=\" + left));\n",
-                        day("sends-twice"), "two submissions at once|a change was run"),
+                        timetable("sends-twice"), "two submissions at once|a mutating query ran"),
                 new Mutant("leaves-at-once", "net/Front.java",
                         "        new Shutdown(this, limits, roster, now).begin(left);\n",
-                        "        left.run();\n", day("leaves-at-once",
-                                trouble(What.LEAVE, 2, 3.7, 1), trouble(What.SLOW, 1, 6, 4)),
-                                        "lost unanswered"),
+                        "        left.run();\n", timetable("leaves-at-once",
+                                entry(What.LEAVE, 2, 3.7, 1), entry(What.SLOW, 1, 6, 4)),
+                                        "lost without an answer"),
                 new Mutant("traces-forgotten", "core/policy/RecentIds.java",
                         "return current.contains(id) || previous.contains(id);",
                         "return id == 0 && current.contains(id);",
-                        day("traces-forgotten", trouble(What.COPIED_TRACES, 1, 6, 1)),
-                        "sent what no client had sent"),
+                        timetable("traces-forgotten", entry(What.COPIED_TRACES, 1, 6, 1)),
+                        "received what no client had sent"),
                 new Mutant("command-torn", "net/WholeCommandEncoder.java", "            whole = true;\n",
                         "            joined.writerIndex(joined.writerIndex() - command.hashCode() % 2);\n"
-                                + "            whole = true;\n", day("command-torn"),
-                        "sent what no client had sent|no answer|past its time"),
+                                + "            whole = true;\n", timetable("command-torn"),
+                        "received what no client had sent|no answer|past its deadline"),
                 new Mutant("signals-wait", "net/Reloads.java",
                         "        wanted = true;\n        notifyAll();\n",
                         "        wanted = true;\n        java.util.concurrent.locks.LockSupport.parkNanos("
                                 + "800_000_000L);\n        notifyAll();\n",
-                        day("signals-wait", trouble(What.SIGNALS, 1, 6, 1), trouble(What.LEAVE, 2, 3.7, 1)),
-                        "had not ended"),
+                        timetable("signals-wait", entry(What.SIGNALS, 1, 6, 1), entry(What.LEAVE, 2, 3.7, 1)),
+                        "had not exited"),
                 new Mutant("thread-for-each-signal", "net/ProcessSignals.java",
                         "            table.set(null, ", "            table.get(table); Object none = (",
-                        day("thread-for-each-signal", trouble(What.NO_THREADS, 1, 6, 1),
-                                trouble(What.LEAVE, 2, 3.7, 1)), "had not ended"),
+                        timetable("thread-for-each-signal", entry(What.NO_THREADS, 1, 6, 1),
+                                entry(What.LEAVE, 2, 3.7, 1)), "had not exited"),
                 new Mutant("selector-once", "net/Startup.java", "new StartAttempts(30, REST_MS)",
-                        "new StartAttempts(1, REST_MS)", restarts("selector-once"), DID_NOT_START),
+                        "new StartAttempts(1, REST_MS)", restartTimetable("selector-once"), DID_NOT_START),
                 new Mutant("configuration-once", "net/Startup.java", "new StartAttempts(50, REST_MS)",
-                        "new StartAttempts(1, REST_MS)", restarts("configuration-once"), DID_NOT_START),
+                        "new StartAttempts(1, REST_MS)", restartTimetable("configuration-once"),
+                        DID_NOT_START),
                 new Mutant("registration-believed", List.of(
                         new Change("net/SocketReads.java", "if (told || !socket.isActive())",
                                 "if (told || socket.isActive())"),
                         new Change("net/AcceptGuard.java", "listener == null || !listener.isActive()",
                                 "listener == null || listener.isActive()")),
-                        restarts("registration-believed"), "no answer|past its time|lost unanswered"));
+                        restartTimetable("registration-believed"),
+                        "no answer|past its deadline|lost without an answer"));
     }
 
-    /** Fronts are killed and start again while calls fail. */
-    private static Timetable restarts(String name) {
-        return day(name, trouble(What.START_FAILS, 0, 8, 1), trouble(What.KILL, 1, 0.2, 1));
+    /** Kills and restarts fronts while system calls fail at their starts. */
+    private static Timetable restartTimetable(String name) {
+        return timetable(name, entry(What.START_FAILS, 0, 8, 1), entry(What.KILL, 1, 0.2, 1));
     }
 
-    private static Timetable coldDay(String name) {
+    private static Timetable coldEngineTimetable(String name) {
         Mix mix = new Mix(8, 6, new double[] {80, 300, 60}, new double[] {60, 200, 60});
-        Timetable bare = new Timetable("mutant " + name, 4, 3, 1, new double[] {4}, 65_536, 9 * SECOND,
-                6 * SECOND, 130, mix, 0, 1, 2_000, 3, 1, List.of());
-        return bare.with("mutant " + name, List.of(trouble(What.CLOCK_FORWARD, 1, 8, 1),
-                trouble(What.REPLACE, 2, 2, 1)));
+        Timetable withoutEntries = new Timetable("mutant " + name, 4, 3, 1, new double[] {4}, 65_536, 9
+                * TICKS_PER_SECOND,
+                6 * TICKS_PER_SECOND, 130, mix, 0, 1, 2_000, 3, 1, List.of());
+        return withoutEntries.withEntries("mutant " + name, List.of(entry(What.CLOCK_FORWARD, 1, 8, 1),
+                entry(What.REPLACE, 2, 2, 1)));
     }
 
-    /** The built program with that one class changed, as a folder from which it can be started. */
-    static Path make(Mutant mutant) throws IOException {
-        Path home = MADE.resolve(mutant.name());
+    /** Builds the mutant into a directory from which the program can be started. */
+    static Path build(Mutant mutant) throws IOException {
+        Path home = MUTANT_HOMES.resolve(mutant.name());
         Path target = Files.createDirectories(home.resolve("target"));
         Files.createDirectories(home.resolve("deploy"));
         Files.copy(Path.of("deploy/balancer.toml"), home.resolve("deploy/balancer.toml"),
@@ -195,47 +203,47 @@
         Path classes = Files.createDirectories(home.resolve("classes"));
         List<String> arguments = new ArrayList<>(List.of("-nowarn", "-proc:none", "-d", classes.toString(),
                 "-cp",
-                "target/classes" + File.pathSeparator + libraries(), "-XDstringConcat=inline"));
+                "target/classes" + File.pathSeparator + libraryClassPath(), "-XDstringConcat=inline"));
         for (Change change : mutant.changes()) {
-            arguments.add(changed(home, mutant, change).toString());
+            arguments.add(writeChangedSource(home, mutant, change).toString());
         }
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         int result = compiler.run(null, null, null, arguments.toArray(String[]::new));
-        Rig.require(result == 0, mutant.name() + " can't be compiled");
+        Rig.require(result == 0, mutant.name() + " failed to compile");
         Path jar = target.resolve("reedspring.jar");
         Files.copy(Path.of("target/reedspring.jar"), jar, StandardCopyOption.REPLACE_EXISTING);
-        try (FileSystem inside = FileSystems.newFileSystem(URI.create("jar:" + jar.toUri()), Map.of());
-                Stream<Path> made = Files.walk(classes)) {
-            for (Path each : made.filter(Files::isRegularFile).toList()) {
-                Files.copy(each, inside.getPath("/" + classes.relativize(each)),
+        try (FileSystem jarFiles = FileSystems.newFileSystem(URI.create("jar:" + jar.toUri()), Map.of());
+                Stream<Path> classFiles = Files.walk(classes)) {
+            for (Path each : classFiles.filter(Files::isRegularFile).toList()) {
+                Files.copy(each, jarFiles.getPath("/" + classes.relativize(each)),
                         StandardCopyOption.REPLACE_EXISTING);
             }
         }
         return home;
     }
 
-    private static Path changed(Path home, Mutant mutant, Change change) throws IOException {
+    private static Path writeChangedSource(Path home, Mutant mutant, Change change) throws IOException {
         String source = Files.readString(SOURCES.resolve(change.file()));
         Rig.require(source.split(Pattern.quote(change.find()), -1).length == 2,
-                mutant.name() + ": its place is not found once in " + change.file());
+                mutant.name() + ": the text to replace does not occur exactly once in " + change.file());
         Path changed = home.resolve("source").resolve(change.file());
         Files.createDirectories(changed.getParent());
-        return Files.writeString(changed, source.replace(change.find(), change.instead()));
+        return Files.writeString(changed, source.replace(change.find(), change.replacement()));
     }
 
-    private static String libraries() throws IOException {
+    private static String libraryClassPath() throws IOException {
         try (Stream<Path> jars = Files.list(Path.of("target/lib"))) {
             return String.join(File.pathSeparator, jars.map(Path::toString).toList());
         }
     }
 
-    /** What the checks say of the mutant; null if they see nothing. */
-    static String found(Mutant mutant) throws Exception {
-        Path home = make(mutant);
-        for (int seed = 1; seed <= TRIES; seed++) {
+    /** The message of the check that found the fault; null if none did. */
+    static String findBreach(Mutant mutant) throws Exception {
+        Path home = build(mutant);
+        for (int seed = 1; seed <= MAX_RUNS_PER_MUTANT; seed++) {
             try {
-                Fleet.play(mutant.day(), seed, home, Rules.Slack.TERMS);
-            } catch (Rules.VoidRunException e) {
+                Fleet.play(mutant.timetable(), seed, home, RunChecker.Tolerances.DOCUMENTED);
+            } catch (RunChecker.VoidRunException e) {
                 System.err.println(mutant.name() + ": void, " + e.getMessage());
             } catch (AssertionError e) {
                 return e.getMessage();
@@ -244,29 +252,31 @@
         return null;
     }
 
-    /** {@code [NAME ...]}: those, or all. */
+    /** Runs the mutants with the names in {@code [NAME ...]}, or all. */
     public static void main(String[] args) throws Exception {
         List<String> names = List.of(args);
-        List<Mutant> wanted = all().stream().filter(m -> names.isEmpty()
+        List<Mutant> selected = all().stream().filter(m -> names.isEmpty()
                 || names.contains(m.name())).toList();
-        ExecutorService plays = Executors.newFixedThreadPool(AT_ONCE);
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_RUNS);
         List<Future<String>> results = new ArrayList<>();
-        for (Mutant mutant : wanted) {
-            Callable<String> play = () -> found(mutant);
-            results.add(plays.submit(play));
+        for (Mutant mutant : selected) {
+            Callable<String> run = () -> findBreach(mutant);
+            results.add(executor.submit(run));
         }
         int missed = 0;
-        for (int k = 0; k < wanted.size(); k++) {
-            Mutant mutant = wanted.get(k);
-            String found = results.get(k).get();
-            boolean seen = found != null && Stream.of(mutant.breach().split("\\|")).anyMatch(found::contains);
-            missed += seen ? 0 : 1;
-            System.err.println(mutant.name() + ": " + (seen ? "found, " : "MISSED, wanted '" + mutant.breach()
-                    + "', ") + (found == null ? "nothing" : found.substring(0, Math.min(300,
-                            found.length()))));
+        for (int k = 0; k < selected.size(); k++) {
+            Mutant mutant = selected.get(k);
+            String message = results.get(k).get();
+            boolean isFound = message != null && Stream.of(mutant.expectedBreaches().split("\\|"))
+                    .anyMatch(message::contains);
+            missed += isFound ? 0 : 1;
+            System.err.println(mutant.name() + ": "
+                    + (isFound ? "found, " : "MISSED, wanted '" + mutant.expectedBreaches()
+                    + "', ") + (message == null ? "nothing" : message.substring(0, Math.min(300,
+                            message.length()))));
         }
-        plays.shutdown();
-        System.out.println("mutants=" + wanted.size() + " missed=" + missed);
-        System.exit(missed == 0 && !wanted.isEmpty() ? 0 : 1);
+        executor.shutdown();
+        System.out.println("mutants=" + selected.size() + " missed=" + missed);
+        System.exit(missed == 0 && !selected.isEmpty() ? 0 : 1);
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/Soak.java
+++ b/src/rig/java/reedspring/rig/fleet/Soak.java
@@ -15,53 +15,56 @@
 import reedspring.rig.fleet.Timetable.What;
 
 /**
- * The fault soak: started fronts under a day that the seed draws, with several troubles that overlap, judged
- * from outside by {@link Rules} with the limits of the operators' pages. A find is its seed: the same number
- * draws the same fleet, the same troubles and the same moments.
+ * A randomized fault test: front processes run under a timetable drawn from the seed, with several
+ * overlapping faults, and {@link RunChecker} checks them from outside with the limits of the operators'
+ * documentation. The same seed draws the same fleet, faults and times, so a failure is reproduced by its
+ * seed.
  *
- * <p>{@code [--seed N] [--runs N] [--fronts N] [--home DIR]}: bench/soak. {@code home} is another checkout
- * that is built.
+ * <p>Started by bench/soak with {@code [--seed N] [--runs N] [--fronts N] [--home DIR]}, where {@code DIR}
+ * is another checkout that has been built.
  */
 public final class Soak {
-    private static final int USAGE = 64;
-    private static final long SECOND = 10_000;
-    private static final long LENGTH = 10 * SECOND;
-    private static final long SETTLE = 7 * SECOND;
-    /** One day in so many has short deadlines, so that SIGKILL comes soon after SIGTERM. */
+    private static final int EXIT_USAGE = 64;
+    private static final long TICKS_PER_SECOND = 10_000;
+    private static final long LENGTH_TICKS = 10 * TICKS_PER_SECOND;
+    private static final long SETTLE_TICKS = 7 * TICKS_PER_SECOND;
+    /** One timetable in so many has short deadlines, so that SIGKILL comes soon after SIGTERM. */
     private static final int SHORT_PATIENCE_ONE_IN = 3;
 
-    /** What a run came to. */
-    private enum Verdict { KEPT, BROKEN, VOID }
+    /** The verdict on a run; a run is void if the rig itself stalled. */
+    private enum Verdict { RULES_KEPT, RULE_BROKEN, VOID }
 
     private Soak() {
     }
 
-    /** The day of that seed, of a fleet as it draws it. */
-    static Timetable day(long seed) {
-        return day(seed, 0);
+    /** Draws the timetable of the seed, including the number of fronts. */
+    static Timetable drawTimetable(long seed) {
+        return drawTimetable(seed, 0);
     }
 
-    /** The same with so many fronts; 0 for as many as the seed draws. */
-    static Timetable day(long seed, int size) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        int drawn = 6 + chance.nextInt(9);
-        int engines = 5 + chance.nextInt(6);
-        Mix mix = new Mix(6 + chance.nextInt(6), 6, new double[] {80, 500, 60}, new double[] {60, 200, 60});
-        int patience = chance.nextInt(SHORT_PATIENCE_ONE_IN) == 0 ? 1 : 3;
-        int fronts = size > 0 ? size : drawn;
-        Timetable bare = new Timetable("soak", fronts, engines, 1 + chance.nextInt(3), new double[] {8, 12},
-                4_096, LENGTH, SETTLE, 40 + chance.nextInt(60), mix, 0, 1, 200, patience, 3,
+    /** Draws the timetable of the seed with {@code size} fronts; 0 for the number that the seed draws. */
+    static Timetable drawTimetable(long seed, int frontCount) {
+        SplittableRandom random = new SplittableRandom(seed);
+        int drawnFronts = 6 + random.nextInt(9);
+        int engines = 5 + random.nextInt(6);
+        Mix mix = new Mix(6 + random.nextInt(6), 6, new double[] {80, 500, 60}, new double[] {60, 200, 60});
+        int patience = random.nextInt(SHORT_PATIENCE_ONE_IN) == 0 ? 1 : 3;
+        int fronts = frontCount > 0 ? frontCount : drawnFronts;
+        Timetable withoutEntries = new Timetable("soak", fronts, engines, 1 + random.nextInt(3),
+                new double[] {8, 12},
+                4_096, LENGTH_TICKS, SETTLE_TICKS, 40 + random.nextInt(60), mix, 0, 1, 200, patience, 3,
                 List.of());
-        List<Entry> troubles = new ArrayList<>();
-        int count = 4 + chance.nextInt(5);
-        List<What> all = List.of(PLAYED);
+        List<Entry> drawnEntries = new ArrayList<>();
+        int count = 4 + random.nextInt(5);
+        List<What> types = List.of(DRAWN_TYPES);
         for (int k = 0; k < count; k++) {
-            troubles.add(trouble(k, all.get(chance.nextInt(all.size())), chance, bare.leavesFor()));
+            drawnEntries.add(drawEntry(k, types.get(random.nextInt(types.size())), random,
+                    withoutEntries.shutdownTicks()));
         }
-        return bare.with("soak " + seed, apart(troubles));
+        return withoutEntries.withEntries("soak " + seed, withoutRepeats(drawnEntries));
     }
 
-    private static final What[] PLAYED = {What.REFUSE, What.CUT, What.RESET, What.HALF_OPEN, What.DELAY,
+    private static final What[] DRAWN_TYPES = {What.REFUSE, What.CUT, What.RESET, What.HALF_OPEN, What.DELAY,
         What.KILL, What.STOP, What.LEAVE, What.FAIL, What.SLOW, What.SILENT, What.HANG, What.FORGET,
                 What.COPIES,
         What.SPOIL, What.DRAIN, What.REPLACE, What.ACCEPT_FAILS, What.CONNECT_FAILS, What.INTERRUPTS,
@@ -71,108 +74,116 @@
         What.IDLE_CROWD, What.COPIED_TRACES,
         What.COPIED_TRACES};
 
-    private static Entry trouble(int number, What what, SplittableRandom chance, long leavesFor) {
-        // Most of them meet in the middle of the day.
-        long at = SECOND + chance.nextLong(5 * SECOND);
-        long span = SECOND + chance.nextLong(4 * SECOND);
-        String fronts = chance.nextInt(3) == 0 ? "all" : (20 + chance.nextInt(60)) + "%";
-        String engines = (15 + chance.nextInt(30)) + "%";
-        Link link = what.ofLinks() ? chance.nextInt(3) == 0 ? Link.JOURNAL : Link.ENGINE : Link.ENGINE;
-        long by = (100 + chance.nextInt(400)) * 10L;
-        double times = 2 + chance.nextInt(3);
-        switch (what) {
-            case STOP -> span = (100 + chance.nextInt(1_400)) * 10L;
-            case LEAVE -> span = leavesFor;
+    private static Entry drawEntry(int number, What type, SplittableRandom random, long shutdownTicks) {
+        // Most faults overlap in the middle of the run.
+        long at = TICKS_PER_SECOND + random.nextLong(5 * TICKS_PER_SECOND);
+        long span = TICKS_PER_SECOND + random.nextLong(4 * TICKS_PER_SECOND);
+        String fronts = random.nextInt(3) == 0 ? "all" : (20 + random.nextInt(60)) + "%";
+        String engines = (15 + random.nextInt(30)) + "%";
+        Link link = type.affectsLinks() ? random.nextInt(3) == 0 ? Link.JOURNAL : Link.ENGINE : Link.ENGINE;
+        long byTicks = (100 + random.nextInt(400)) * 10L;
+        double times = 2 + random.nextInt(3);
+        switch (type) {
+            case STOP -> span = (100 + random.nextInt(1_400)) * 10L;
+            case LEAVE -> span = shutdownTicks;
             case START_FAILS -> {
-                // From before the first start that a trouble of the day brings, to after the last.
+                // Covers every restart that another entry of the run causes.
                 at = 0;
-                span = LENGTH;
+                span = LENGTH_TICKS;
             }
-            case KILL -> span = SECOND / 2;
-            case CLOCK_FORWARD, CLOCK_BACK -> by = chance.nextBoolean() ? 3_600 * SECOND : 5 * SECOND;
+            case KILL -> span = TICKS_PER_SECOND / 2;
+            case CLOCK_FORWARD, CLOCK_BACK -> byTicks = random.nextBoolean() ? 3_600 * TICKS_PER_SECOND
+                    : 5 * TICKS_PER_SECOND;
             case BURST -> times = 2;
-            case HANG -> span = SECOND + chance.nextLong(3 * SECOND);
+            case HANG -> span = TICKS_PER_SECOND + random.nextLong(3 * TICKS_PER_SECOND);
             default -> {
-                // as drawn
+                // values as drawn above
             }
         }
-        if (what == What.KILL || what == What.LEAVE) {
-            fronts = (15 + chance.nextInt(30)) + "%";
+        if (type == What.KILL || type == What.LEAVE) {
+            fronts = (15 + random.nextInt(30)) + "%";
         }
-        return new Entry("trouble " + number + " " + what, at, span, what, link, fronts, engines, by, times,
+        return new Entry("trouble " + number + " " + type, at, span, type, link, fronts, engines, byTicks,
+                times,
                 1 << 20);
     }
 
-    /** A front is killed or told to end once; two of that in one day would be two starts at once. */
-    private static List<Entry> apart(List<Entry> troubles) {
+    /**
+     * Keeps one entry of each type, and one of KILL and LEAVE, as two would restart a front twice at once.
+     */
+    private static List<Entry> withoutRepeats(List<Entry> entries) {
         List<Entry> kept = new ArrayList<>();
-        for (Entry each : troubles) {
-            boolean ends = each.what() == What.KILL || each.what() == What.LEAVE;
-            boolean twice = kept.stream().anyMatch(e -> e.what() == each.what()
-                    || ends && (e.what() == What.KILL || e.what() == What.LEAVE));
-            if (!twice) {
-                kept.add(each);
+        for (Entry entry : entries) {
+            boolean endsFront = entry.what() == What.KILL || entry.what() == What.LEAVE;
+            boolean repeats = kept.stream().anyMatch(e -> e.what() == entry.what()
+                    || endsFront && (e.what() == What.KILL || e.what() == What.LEAVE));
+            if (!repeats) {
+                kept.add(entry);
             }
         }
         return kept;
     }
 
-    /** What is played, for those who read a find. */
-    static String story(Timetable day) {
-        return day.fronts() + " fronts, " + day.engines() + " engines: " + day.entries().stream()
+    /** Describes the timetable for the report of a run. */
+    static String describe(Timetable timetable) {
+        return timetable.fronts() + " fronts, " + timetable.engines() + " engines: "
+                + timetable.entries().stream()
                 .sorted((a, b) -> Long.compare(a.at(), b.at()))
                 .map(e -> String.format(Locale.ROOT, "%s %.1f to %.1f s%s", e.what(),
-                        e.at() / (double) SECOND,
-                        e.until() / (double) SECOND, e.what().ofLinks() ? " of " + e.link() : ""))
+                        e.at() / (double) TICKS_PER_SECOND,
+                        e.until() / (double) TICKS_PER_SECOND, e.what().affectsLinks() ? " of " + e.link()
+                        : ""))
                 .collect(Collectors.joining("; "));
     }
 
-    /** One run by the limits of the terms; throws what broke. */
-    public static Tally play(long seed, int size, Path home) throws Exception {
-        return Fleet.play(day(seed, size), seed, home, Rules.Slack.TERMS);
+    /** Plays one run with the documented limits; throws on the first broken rule. */
+    public static RunSummary play(long seed, int frontCount, Path home) throws Exception {
+        return Fleet.play(drawTimetable(seed, frontCount), seed, home, RunChecker.Tolerances.DOCUMENTED);
     }
 
     public static void main(String[] args) throws IOException {
         long seed = 1;
         int runs = 1;
-        int size = 0;
+        int frontCount = 0;
         Path home = Path.of(".");
         for (int k = 0; k < args.length; k++) {
-            boolean more = k + 1 < args.length;
-            if (args[k].equals("--seed") && more && args[k + 1].matches("[0-9]{1,18}")) {
+            boolean hasValue = k + 1 < args.length;
+            if (args[k].equals("--seed") && hasValue && args[k + 1].matches("[0-9]{1,18}")) {
                 seed = Long.parseLong(args[++k]);
-            } else if (args[k].equals("--runs") && more && args[k + 1].matches("[0-9]{1,4}")) {
+            } else if (args[k].equals("--runs") && hasValue && args[k + 1].matches("[0-9]{1,4}")) {
                 runs = Integer.parseInt(args[++k]);
-            } else if (args[k].equals("--fronts") && more && args[k + 1].matches("[1-9][0-9]{0,2}")) {
-                size = Integer.parseInt(args[++k]);
-            } else if (args[k].equals("--home") && more) {
+            } else if (args[k].equals("--fronts") && hasValue && args[k + 1].matches("[1-9][0-9]{0,2}")) {
+                frontCount = Integer.parseInt(args[++k]);
+            } else if (args[k].equals("--home") && hasValue) {
                 home = Path.of(args[++k]);
             } else {
                 System.err.println("usage: bench/soak [--seed N] [--runs N] [--fronts N] [--home DIR]");
-                System.exit(USAGE);
+                System.exit(EXIT_USAGE);
             }
         }
         Map<Verdict, Integer> verdicts = new EnumMap<>(Verdict.class);
         for (long each = seed; each < seed + runs; each++) {
-            verdicts.merge(told(each, size, home), 1, Integer::sum);
+            verdicts.merge(playAndReport(each, frontCount, home), 1, Integer::sum);
         }
-        int broken = verdicts.getOrDefault(Verdict.BROKEN, 0);
-        System.out.println("runs=" + runs + " kept=" + verdicts.getOrDefault(Verdict.KEPT, 0) + " broken="
+        int broken = verdicts.getOrDefault(Verdict.RULE_BROKEN, 0);
+        System.out.println("runs=" + runs + " kept=" + verdicts.getOrDefault(Verdict.RULES_KEPT, 0)
+                + " broken="
                 + broken + " void=" + verdicts.getOrDefault(Verdict.VOID, 0) + " seed=" + seed);
         System.exit(broken == 0 ? 0 : 1);
     }
 
-    private static Verdict told(long seed, int size, Path home) {
-        String story = story(day(seed, size));
+    private static Verdict playAndReport(long seed, int frontCount, Path home) {
+        String description = describe(drawTimetable(seed, frontCount));
         try {
-            System.err.println("seed " + seed + ": kept, " + play(seed, size, home) + "; " + story);
-            return Verdict.KEPT;
-        } catch (Rules.VoidRunException e) {
+            System.err.println("seed " + seed + ": kept, " + play(seed, frontCount, home) + "; "
+                    + description);
+            return Verdict.RULES_KEPT;
+        } catch (RunChecker.VoidRunException e) {
             System.err.println("seed " + seed + ": void, " + e.getMessage());
             return Verdict.VOID;
         } catch (Exception | AssertionError e) {
-            System.err.println("seed " + seed + ": BROKEN " + e.getMessage() + "; " + story);
-            return Verdict.BROKEN;
+            System.err.println("seed " + seed + ": BROKEN " + e.getMessage() + "; " + description);
+            return Verdict.RULE_BROKEN;
         }
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/Timetable.java
+++ b/src/rig/java/reedspring/rig/fleet/Timetable.java
@@ -11,32 +11,32 @@
 import reedspring.settings.SettingsException;
 
 /**
- * What a fleet is and what happens to it when, as one file tells it. Times are tenths of a millisecond from
- * the moment at which all fronts serve. Whom an entry hits is drawn from the run's seed, so a run is its
- * file and its seed.
+ * A fleet, its load and the scheduled faults, read from one file. Times are in ticks (tenths of a
+ * millisecond) from the time when all fronts serve. The fronts and engines that an entry affects are drawn
+ * from the run's seed, so the file and the seed determine a run.
  */
 public record Timetable(String name, int fronts, int engines, int sites, double[] cores, double memoryMb,
-                        long length, long settle, double perSecond, Mix mix, int busyFronts,
-                        double busyTimes, int sessions, int patience, double coldMultiple,
+                        long length, long settle, double queriesPerSecond, Mix mix, int busyFronts,
+                        double busyFactor, int sessions, int patienceFactor, double coldOverloadMultiple,
                         List<Entry> entries) {
     /**
-     * What is asked: one in so many is long, one in so many a change that must not run twice (0: none). Works
-     * and needs are means, widely scattered, by the group's place in {@link Terms#GROUPS}.
+     * The mix of queries: one in {@code longOneIn} is long, one in {@code changeOneIn} is mutating (0: none).
+     * Work and memory need are means of log-normal distributions, indexed as {@link Terms#GROUPS}.
      */
     public record Mix(int longOneIn, int changeOneIn, double[] workMs, double[] needMb) {
-        public int group(SplittableRandom chance) {
-            if (changeOneIn > 0 && chance.nextInt(changeOneIn) == 0) {
-                return Terms.CHANGE;
+        public int group(SplittableRandom random) {
+            if (changeOneIn > 0 && random.nextInt(changeOneIn) == 0) {
+                return Terms.MUTATING_GROUP;
             }
-            return chance.nextInt(longOneIn) == 0 ? 1 : 0;
+            return random.nextInt(longOneIn) == 0 ? 1 : 0;
         }
 
-        public double workMs(int group, SplittableRandom chance) {
-            return workMs[group] * Math.exp(chance.nextGaussian() - 0.5);
+        public double workMs(int group, SplittableRandom random) {
+            return workMs[group] * Math.exp(random.nextGaussian() - 0.5);
         }
 
-        public double needMb(int group, SplittableRandom chance) {
-            return needMb[group] * Math.exp(0.7 * chance.nextGaussian() - 0.25);
+        public double needMb(int group, SplittableRandom random) {
+            return needMb[group] * Math.exp(0.7 * random.nextGaussian() - 0.25);
         }
 
         double meanWorkMs() {
@@ -44,245 +44,260 @@
         }
     }
 
-    /** The end of a link that is not the front. */
+    /** The peer at the end of a link opposite to the front. */
     public enum Link { CLIENT, ENGINE, JOURNAL }
 
-    /** What can happen; the first eight happen to links. */
+    /** The types of entries. Their order matters: the methods below classify them by ordinal. */
     public enum What {
-        /** New connections are refused, open ones reset. */
+        /** New connections are refused and open ones reset. */
         REFUSE,
-        /** Nothing passes either way, nothing new comes up, nobody is told; goes on afterwards. */
+        /** Nothing passes in either direction and connects hang; buffered bytes pass afterwards. */
         CUT,
-        /** The same from the front on only. */
+        /** Like CUT, for the direction from the front only. */
         CUT_THERE,
-        /** The same towards the front only. */
+        /** Like CUT, for the direction to the front only. */
         CUT_BACK,
-        /** Open connections lose their far end and are not told; new ones work. */
+        /** The far ends of open connections are reset without notice to the near ends; new ones work. */
         HALF_OPEN,
         /** Open connections are reset once. */
         RESET,
         DELAY,
         THROTTLE,
-        /** SIGKILL, and a start when the time is over. */
+        /** Fronts receive SIGKILL and are restarted at the end of the span. */
         KILL,
-        /** SIGSTOP, and SIGCONT when the time is over. */
+        /** Fronts receive SIGSTOP, and SIGCONT at the end of the span. */
         STOP,
-        /** SIGTERM, and a start when the time is over. */
+        /** Fronts receive SIGTERM, and at the end of the span SIGKILL and a restart. */
         LEAVE,
-        /** Engines answer `failed` at once. */
+        /** Engines answer {@code failed} at once. */
         FAIL,
-        /** Engines have a part of their cores only. */
+        /** Engines are slower by the factor {@code times}. */
         SLOW,
-        /** Engines run what comes and answer nothing. */
+        /** Engines execute queries but answer nothing. */
         SILENT,
-        /** Engines say that they are idle, whatever they are. */
+        /** Engines report that they are idle, whatever their load. */
         LIE,
-        /** Engines say what they said last. */
+        /** Engines keep reporting the load of the entry's start. */
         STUCK,
-        /** Engines say nothing of their load. */
+        /** Engines report no load. */
         MUTE,
-        /** Engines stand still and then go on: what they would have said in between comes then. */
+        /** Engines hang, and send at the end of the span the answers that they withheld. */
         HANG,
-        /** Engines close connections that rest, some behind half an answer. */
+        /** Engines close idle connections, some of them after an incomplete answer. */
         FORGET,
         /** Engines send each answer twice. */
         COPIES,
-        /** One answer in five is malformed, or begins and does not end. */
+        /** One answer in five is malformed or truncated. */
         SPOIL,
-        /** Engines are listed as draining, and as ready again when the time is over. */
+        /** Engines are listed as draining, and as ready again at the end of the span. */
         DRAIN,
-        /** Engines are listed as draining, end what they hold, and go; a new one comes for each, cold. */
+        /** Engines are listed as draining and end; a cold engine takes the place of each. */
         REPLACE,
-        /** One in {@code times} of the fronts' accepts fails, in all the ways that are documented. */
+        /** One in {@code times} of the fronts' accepts fails, with each of the documented errors. */
         ACCEPT_FAILS,
-        /** The same of connects and new sockets. */
+        /** One in {@code times} of the fronts' connects and one in twice as many new sockets fail. */
         CONNECT_FAILS,
-        /** Every third read and write of the fronts is interrupted, and all move a few hundred bytes only. */
+        /**
+         * Every third read and write of the fronts is interrupted; all transfer a few hundred bytes at most.
+         */
         INTERRUPTS,
-        /** The fronts' wall clock is ahead by {@code by} for the time. */
+        /** The fronts' wall clock is ahead by {@code by} during the span. */
         CLOCK_FORWARD,
-        /** The same behind. */
+        /** The fronts' wall clock is behind by {@code by} during the span. */
         CLOCK_BACK,
-        /** The fronts can have no more threads. */
+        /** The fronts can create no more threads. */
         NO_THREADS,
-        /** Starts of the fronts meet calls that fail: reading the file, the selector, a registration. */
+        /** System calls fail at the fronts' starts: opening the file, creating a selector, registering. */
         START_FAILS,
-        /** {@code times} new configurations over the span, each with discovery at another address. */
+        /** {@code times} reloads over the span, each with the journal at another address. */
         RELOAD,
-        /** SIGHUP in series, while the configuration's file is away for half of the span. */
+        /** Series of SIGHUP while the configuration file is missing for half of the span. */
         SIGNALS,
-        /** Three clients in ten take their query back, or close their connection, soon after asking. */
+        /** Three clients in ten revoke their request or close their connection soon after sending it. */
         GIVE_UP,
-        /** One client in six writes its query in pieces over a second or two. */
+        /** One client in six writes its request in chunks over a second or two. */
         SLOW_CLIENTS,
-        /** Connections with noise, half messages, silence, or many queries and a close at once. */
+        /**
+         * Connections with malformed or partial messages, silence, or many requests and an immediate close.
+         */
         BAD_CLIENTS,
-        /** Connections with thirty queries at once. */
+        /** Connections with thirty pipelined requests. */
         PIPELINE,
-        /** Hundreds of connections that say nothing. */
+        /** Hundreds of connections that send nothing. */
         IDLE_CROWD,
-        /** Connections that send the trace of another client's query with a statement of their own. */
+        /** Connections that reuse the trace of another client's request with another statement. */
         COPIED_TRACES,
-        /** Lists reach these fronts late. */
+        /** Engine lists reach the fronts late. */
         LATE_LIST,
-        /** More queries. */
+        /** The query rate is multiplied by {@code times}. */
         BURST,
-        // Those of the scale run alone.
-        /** {@code times} changes of configuration over the span, each to all fronts. */
+        // The types below belong to the scale run only.
+        /** {@code times} configuration changes over the span, each on all fronts. */
         CONFIGURE,
-        /** One that can't be used. */
+        /** An invalid configuration. */
         CONFIGURE_BAD,
-        /** Each engine drains, and at the same moment another takes its place. */
+        /** Each engine drains, and another takes its place at the same time. */
         PRIMARY,
-        /** Engines have gone without a word, and as many new ones come when the time is over. */
+        /** Engines disappear without notice, and as many new ones start at the end of the span. */
         LOSE,
-        /** The journal service ends under all who follow it, and is back when the time is over. */
+        /** The journal service stops with all its watchers connected, and is back at the end of the span. */
         JOURNAL_AWAY;
 
-        /** Played by bench/scale and by nothing else. */
-        public boolean ofScale() {
+        /** Whether only bench/scale plays this type. */
+        public boolean isScaleOnly() {
             return ordinal() > BURST.ordinal();
         }
 
-        public boolean ofLinks() {
+        public boolean affectsLinks() {
             return ordinal() <= THROTTLE.ordinal();
         }
 
-        /** Done by a library that is loaded into the fronts. */
-        boolean ofShim() {
+        /** Whether the fault shim, a library preloaded into the fronts, implements this type. */
+        boolean needsFaultShim() {
             return ordinal() >= ACCEPT_FAILS.ordinal() && ordinal() <= START_FAILS.ordinal();
         }
 
-        boolean ofEngines() {
+        boolean affectsEngines() {
             return ordinal() >= FAIL.ordinal() && ordinal() <= REPLACE.ordinal();
         }
     }
 
     /**
-     * One thing that happens from {@code at} on for {@code span}. {@code by} is a time (of a delay or lag),
-     * {@code times} a factor (slower, more queries), {@code rate} bytes a second.
+     * One scheduled entry, from {@code at} on for {@code span} ticks.
+     *
+     * @param fronts selects the affected fronts
+     * @param engines selects the affected engines
+     * @param by a delay, a lag or a clock offset, in ticks
+     * @param times a factor or a count, by the type
      */
     public record Entry(String title, long at, long span, What what, Link link, String fronts, String engines,
-                        long by, double times, long rate) {
+                        long byTicks, double times, long bytesPerSecond) {
         public long until() {
             return at + span;
         }
     }
 
-    private static final long SECOND = 10_000;
-    /** Engines and fronts stand in racks by turns. */
+    private static final long TICKS_PER_SECOND = 10_000;
+    /** Engines and fronts are assigned to the racks in turn. */
     private static final int RACKS = 50;
-    private static final long LONGEST_PATIENCE_WHILE_LEAVING_MS = 3_000;
-    private static final long KILLED_AFTER_PATIENCE_MS = 700;
-    private static final int MOST = 1_000;
-    private static final int MOST_FRONTS = 10_000;
-    private static final int MOST_ENGINES = 100_000;
+    private static final long MAX_SHUTDOWN_PATIENCE_MS = 3_000;
+    private static final long KILL_MARGIN_MS = 700;
+    private static final int MAX_ONE_IN = 1_000;
+    private static final int MAX_FRONTS = 10_000;
+    private static final int MAX_ENGINES = 100_000;
 
     public static Timetable read(Path file) throws SettingsException {
         Ini ini = new Ini(file);
-        String it = "fleet";
-        ini.has(it);
-        int fronts = (int) ini.count(it, "fronts", 8, 1, MOST_FRONTS);
-        int engines = (int) ini.count(it, "engines", 6, 1, MOST_ENGINES);
+        String fleetSection = "fleet";
+        ini.has(fleetSection);
+        int fronts = (int) ini.count(fleetSection, "fronts", 8, 1, MAX_FRONTS);
+        int engines = (int) ini.count(fleetSection, "engines", 6, 1, MAX_ENGINES);
         List<Entry> entries = new ArrayList<>();
         for (String section : ini.sections()) {
-            if (!section.equals(it)) {
-                entries.add(entry(ini, section));
+            if (!section.equals(fleetSection)) {
+                entries.add(readEntry(ini, section));
             }
         }
-        Timetable read = new Timetable(file.getFileName().toString(), fronts, engines,
-                (int) ini.count(it, "sites", 1, 1, 26), sizes(ini, it),
-                ini.size(it, "memory", 4L << 30, 1 << 20, 1L << 50) / (double) (1 << 20),
-                ini.span(it, "length", 10 * SECOND, SECOND, 600 * SECOND),
-                ini.span(it, "settle", 5 * SECOND, 0, 60 * SECOND),
-                ini.count(it, "queries_a_second", 80, 0, 100_000), mix(ini, it),
-                (int) ini.count(it, "busy_fronts", 0, 0, fronts), ini.count(it, "busy_times", 1, 1, 100),
-                (int) ini.count(it, "sessions", 200, 1, 100_000), (int) ini.count(it, "patience", 3, 1, 60),
-                ini.count(it, "cold_multiple", 3, 1, 100),
+        Timetable timetable = new Timetable(file.getFileName().toString(), fronts, engines,
+                (int) ini.count(fleetSection, "sites", 1, 1, 26), readCores(ini, fleetSection),
+                ini.size(fleetSection, "memory", 4L << 30, 1 << 20, 1L << 50) / (double) (1 << 20),
+                ini.span(fleetSection, "length", 10 * TICKS_PER_SECOND, TICKS_PER_SECOND,
+                600 * TICKS_PER_SECOND),
+                ini.span(fleetSection, "settle", 5 * TICKS_PER_SECOND, 0, 60 * TICKS_PER_SECOND),
+                ini.count(fleetSection, "queries_a_second", 80, 0, 100_000), mix(ini, fleetSection),
+                (int) ini.count(fleetSection, "busy_fronts", 0, 0, fronts),
+                ini.count(fleetSection, "busy_times", 1, 1, 100),
+                (int) ini.count(fleetSection, "sessions", 200, 1, 100_000),
+                (int) ini.count(fleetSection, "patience", 3, 1, 60),
+                ini.count(fleetSection, "cold_multiple", 3, 1, 100),
                         List.copyOf(entries));
         for (Entry entry : entries) {
-            if (!pattern(entry.fronts)) {
-                ini.fault(entry.title, "fronts", "'" + entry.fronts + "' chooses nobody");
+            if (!isSelector(entry.fronts)) {
+                ini.fault(entry.title, "fronts", "'" + entry.fronts + "' selects nothing");
             }
-            if (!pattern(entry.engines)) {
-                ini.fault(entry.title, "engines", "'" + entry.engines + "' chooses nobody");
+            if (!isSelector(entry.engines)) {
+                ini.fault(entry.title, "engines", "'" + entry.engines + "' selects nothing");
             }
         }
         ini.end();
-        return read;
+        return timetable;
     }
 
-    private static Mix mix(Ini ini, String it) {
-        double shortMs = ini.span(it, "short_work", 1_200, 10, 600 * SECOND) / 10.0;
-        double longMs = ini.span(it, "long_work", 9_000, 10, 600 * SECOND) / 10.0;
-        double shortMb = ini.size(it, "short_need", 60 << 20, 0, 1L << 50) / (double) (1 << 20);
-        double longMb = ini.size(it, "long_need", 250 << 20, 0, 1L << 50) / (double) (1 << 20);
-        return new Mix((int) ini.count(it, "long_one_in", 8, 1, MOST),
-                (int) ini.count(it, "change_one_in", 20, 0, MOST), new double[] {shortMs, longMs, shortMs},
+    private static Mix mix(Ini ini, String section) {
+        double shortMs = ini.span(section, "short_work", 1_200, 10, 600 * TICKS_PER_SECOND) / 10.0;
+        double longMs = ini.span(section, "long_work", 9_000, 10, 600 * TICKS_PER_SECOND) / 10.0;
+        double shortMb = ini.size(section, "short_need", 60 << 20, 0, 1L << 50) / (double) (1 << 20);
+        double longMb = ini.size(section, "long_need", 250 << 20, 0, 1L << 50) / (double) (1 << 20);
+        return new Mix((int) ini.count(section, "long_one_in", 8, 1, MAX_ONE_IN),
+                (int) ini.count(section, "change_one_in", 20, 0, MAX_ONE_IN),
+                new double[] {shortMs, longMs, shortMs},
                 new double[] {shortMb, longMb, shortMb});
     }
 
-    private static Entry entry(Ini ini, String section) {
+    private static Entry readEntry(Ini ini, String section) {
         ini.has(section);
-        List<String> words = IntStream.range(0, What.values().length).mapToObj(k -> word(What.values()[k]))
+        List<String> typeKeys = IntStream.range(0, What.values().length)
+                .mapToObj(k -> keyOf(What.values()[k]))
                 .toList();
-        String what = ini.word(section, "what", null, words);
-        if (what == null) {
+        String typeKey = ini.word(section, "what", null, typeKeys);
+        if (typeKey == null) {
             ini.fault(section, "what", "missing");
         }
         String link = ini.word(section, "link", "engine", List.of("client", "engine", "journal"));
-        return new Entry(section, ini.span(section, "at", 0, 0, 600 * SECOND),
-                ini.span(section, "for", 0, 0, 600 * SECOND),
-                What.values()[Math.max(0, words.indexOf(what))], Link.valueOf(link.toUpperCase()),
+        return new Entry(section, ini.span(section, "at", 0, 0, 600 * TICKS_PER_SECOND),
+                ini.span(section, "for", 0, 0, 600 * TICKS_PER_SECOND),
+                What.values()[Math.max(0, typeKeys.indexOf(typeKey))], Link.valueOf(link.toUpperCase()),
                 ini.any(section, "fronts", "all"), ini.any(section, "engines", "all"),
-                ini.span(section, "by", 0, 0, 60 * SECOND),
-                factor(ini, section), ini.size(section, "rate", 1 << 20, 1, 1L << 40));
+                ini.span(section, "by", 0, 0, 60 * TICKS_PER_SECOND),
+                readFactor(ini, section), ini.size(section, "rate", 1 << 20, 1, 1L << 40));
     }
 
-    private static String word(What what) {
-        return what.name().toLowerCase().replace('_', '-');
+    private static String keyOf(What type) {
+        return type.name().toLowerCase().replace('_', '-');
     }
 
-    private static double[] sizes(Ini ini, String section) {
+    private static double[] readCores(Ini ini, String section) {
         String text = ini.any(section, "cores", "8");
         if (!text.matches("[0-9]{1,4}( [0-9]{1,4})*")) {
-            ini.fault(section, "cores", "'" + text + "' is no list of cores such as 4 8 16");
+            ini.fault(section, "cores", "'" + text + "' is not a list of cores such as 4 8 16");
             return new double[] {8};
         }
         return List.of(text.split(" ")).stream().mapToDouble(Double::parseDouble).toArray();
     }
 
-    private static double factor(Ini ini, String section) {
+    private static double readFactor(Ini ini, String section) {
         String text = ini.any(section, "times", "1");
         if (!text.matches("[0-9]{1,3}(\\.[0-9]{1,2})?")) {
-            ini.fault(section, "times", "'" + text + "' is no factor such as 1.5");
+            ini.fault(section, "times", "'" + text + "' is not a factor such as 1.5");
             return 1;
         }
         return Double.parseDouble(text);
     }
 
-    private static boolean pattern(String who) {
-        return who.matches("all|none|[0-9]{1,2}%|[0-9]{1,4}|site [a-z]{1,26}|rack [0-9]{1,2}"
+    private static boolean isSelector(String selector) {
+        return selector.matches("all|none|[0-9]{1,2}%|[0-9]{1,4}|site [a-z]{1,26}|rack [0-9]{1,2}"
                 + "|[fe][0-9]{1,5}( [fe][0-9]{1,5})*");
     }
 
-    /** The same with other things that happen. */
-    Timetable with(String otherName, List<Entry> other) {
-        return new Timetable(otherName, fronts, engines, sites, cores, memoryMb, length, settle, perSecond,
+    /** A copy of this timetable with another name and other entries. */
+    Timetable withEntries(String otherName, List<Entry> otherEntries) {
+        return new Timetable(otherName, fronts, engines, sites, cores, memoryMb, length, settle,
+                queriesPerSecond,
                 mix,
-                busyFronts, busyTimes, sessions, patience, coldMultiple, List.copyOf(other));
+                busyFronts, busyFactor, sessions, patienceFactor, coldOverloadMultiple,
+                List.copyOf(otherEntries));
     }
 
-    /** From SIGTERM to SIGKILL, at the earliest: the longest patience, 3 s at most, and 0.7 s. */
-    long leavesFor() {
-        long longest = 0;
+    /** The ticks from SIGTERM to SIGKILL at least: the longest patience, at most 3 s, and 0.7 s more. */
+    long shutdownTicks() {
+        long longestMs = 0;
         for (int group = 0; group < Terms.GROUPS.length; group++) {
-            longest = Math.max(longest, Terms.leavesMs(this, group));
+            longestMs = Math.max(longestMs, Terms.leavesMs(this, group));
         }
-        return (Math.min(longest, LONGEST_PATIENCE_WHILE_LEAVING_MS) + KILLED_AFTER_PATIENCE_MS) * 10;
+        return (Math.min(longestMs, MAX_SHUTDOWN_PATIENCE_MS) + KILL_MARGIN_MS) * 10;
     }
 
-    /** A front or engine's site. */
+    /** The site of the front or engine with that index. */
     public char site(int index) {
         return (char) ('a' + index % sites);
     }
@@ -291,51 +306,53 @@
         return cores[engine % cores.length];
     }
 
-    /** The same with other numbers of fronts and engines, and the load that the engines' number gives. */
+    /** A copy for other numbers of fronts and engines, with the load scaled to the number of engines. */
     public Timetable sized(int otherFronts, int otherEngines) {
         return new Timetable(name, otherFronts, otherEngines, sites, cores, memoryMb, length, settle,
-                perSecond * otherEngines / engines, mix, busyFronts * otherFronts / fronts, busyTimes,
-                sessions, patience, coldMultiple, entries);
+                queriesPerSecond * otherEngines / engines, mix, busyFronts * otherFronts / fronts, busyFactor,
+                sessions, patienceFactor, coldOverloadMultiple, entries);
     }
 
-    /** How much of all queries the front gets. */
-    public double part(int front) {
-        double all = busyFronts * busyTimes + fronts - busyFronts;
-        return (front < busyFronts ? busyTimes : 1) / all;
+    /** The front's share of all queries. */
+    public double queryShare(int front) {
+        double totalWeight = busyFronts * busyFactor + fronts - busyFronts;
+        return (front < busyFronts ? busyFactor : 1) / totalWeight;
     }
 
     public Set<Integer> frontsOf(Entry entry, long seed) {
-        return drawn(entry.fronts, 'f', fronts, seed ^ entry.title.hashCode());
+        return select(entry.fronts, 'f', fronts, seed ^ entry.title.hashCode());
     }
 
     public Set<Integer> enginesOf(Entry entry, long seed) {
-        return drawn(entry.engines, 'e', engines, seed ^ ~entry.title.hashCode());
+        return select(entry.engines, 'e', engines, seed ^ ~entry.title.hashCode());
     }
 
-    private Set<Integer> drawn(String who, char letter, int count, long seed) {
-        if (who.equals("all") || who.equals("none")) {
-            return IntStream.range(0, who.equals("all") ? count : 0).boxed().collect(HashSet::new, Set::add,
+    private Set<Integer> select(String selector, char letter, int count, long seed) {
+        if (selector.equals("all") || selector.equals("none")) {
+            return IntStream.range(0, selector.equals("all") ? count : 0).boxed()
+                    .collect(HashSet::new, Set::add,
                     Set::addAll);
         }
-        Set<Integer> set = new HashSet<>();
-        if (who.startsWith("site ")) {
-            IntStream.range(0, count).filter(k -> who.indexOf(site(k), 5) >= 0).forEach(set::add);
-        } else if (who.startsWith("rack ")) {
-            int rack = Integer.parseInt(who.substring(5)) % RACKS;
-            IntStream.range(0, count).filter(k -> k % RACKS == rack).forEach(set::add);
-        } else if (who.charAt(0) == letter) {
-            for (String name : who.split(" ")) {
-                set.add(Integer.parseInt(name.substring(1)) % count);
+        Set<Integer> selected = new HashSet<>();
+        if (selector.startsWith("site ")) {
+            IntStream.range(0, count).filter(k -> selector.indexOf(site(k), 5) >= 0).forEach(selected::add);
+        } else if (selector.startsWith("rack ")) {
+            int rack = Integer.parseInt(selector.substring(5)) % RACKS;
+            IntStream.range(0, count).filter(k -> k % RACKS == rack).forEach(selected::add);
+        } else if (selector.charAt(0) == letter) {
+            for (String name : selector.split(" ")) {
+                selected.add(Integer.parseInt(name.substring(1)) % count);
             }
-        } else if (who.matches("[0-9].*")) {
-            int many = who.endsWith("%") ? (int) Math.ceil(count * Integer.parseInt(who.substring(0,
-                    who.length() - 1)) / 100.0) : Integer.parseInt(who);
-            SplittableRandom chance = new SplittableRandom(seed);
-            while (set.size() < Math.min(many, count)) {
-                set.add(chance.nextInt(count));
+        } else if (selector.matches("[0-9].*")) {
+            int wanted = selector.endsWith("%")
+                    ? (int) Math.ceil(count * Integer.parseInt(selector.substring(0,
+                    selector.length() - 1)) / 100.0) : Integer.parseInt(selector);
+            SplittableRandom random = new SplittableRandom(seed);
+            while (selected.size() < Math.min(wanted, count)) {
+                selected.add(random.nextInt(count));
             }
         }
-        return set;
+        return selected;
     }
 
     @Override
--- a/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
+++ b/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
@@ -24,521 +24,550 @@
 import reedspring.rig.fleet.Timetable.What;
 
 /**
- * Hundreds of fronts' decisions before plain engines, in virtual time, by a timetable: the rules are checked
- * at every action and after every step, and a breach names what broke, the timetable and the seed. Clients
- * that are deferred come again as told. Times are tenths of a millisecond.
+ * Plays a timetable in virtual time on the decisions of up to hundreds of fronts and on modelled engines. The
+ * rules are checked at every action and after every step; a failure names the broken rule, the timetable and
+ * the seed. Deferred clients retry as told. Times are in ticks (tenths of a millisecond).
  */
 public final class VirtualFleet {
-    private static final long MS = 10;
-    private static final long SECOND = 1_000 * MS;
-    private static final long STEP = 5 * MS;
-    /** Lists come to each front by so much later than to the first. */
-    private static final long LIST_SPREAD = 200 * MS;
-    /** A front that says nothing is noticed by its clients' layer after so long. */
-    private static final long LAYER_NOTICES = SECOND;
-    private static final long ANSWER_GRACE = 50 * MS;
-    private static final long BIN = 100 * MS;
-    /** On the fronts' clock. */
-    private static final long START = 1_000 * SECOND;
-
-    private final Timetable table;
+    private static final long TICKS_PER_MS = 10;
+    private static final long TICKS_PER_SECOND = 1_000 * TICKS_PER_MS;
+    private static final long STEP_TICKS = 5 * TICKS_PER_MS;
+    /** Upper bound of the random delay of an engine list on its way to each front. */
+    private static final long LIST_DELAY_SPREAD_TICKS = 200 * TICKS_PER_MS;
+    /** Time after which the load balancer before the fronts notices a front that is down. */
+    private static final long BALANCER_NOTICES_TICKS = TICKS_PER_SECOND;
+    private static final long ANSWER_GRACE_TICKS = 50 * TICKS_PER_MS;
+    private static final long RETRY_BIN_TICKS = 100 * TICKS_PER_MS;
+    /** The start of the run on the fronts' clock. */
+    private static final long START_TICKS = 1_000 * TICKS_PER_SECOND;
+
+    private final Timetable timetable;
     private final long seed;
-    private final Deployment rules;
-    private final SplittableRandom chance;
+    private final Deployment deployment;
+    private final SplittableRandom random;
     private final List<Front> fronts = new ArrayList<>();
     private final List<Engine> engines = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
-    private final Map<Entry, Set<Integer>> hitFronts = new HashMap<>();
-    private final Map<Entry, Set<Integer>> hitEngines = new HashMap<>();
+    private final PriorityQueue<DueTask> dueTasks = new PriorityQueue<>();
+    private final Map<Entry, Set<Integer>> affectedFronts = new HashMap<>();
+    private final Map<Entry, Set<Integer>> affectedEngines = new HashMap<>();
     private final double[] offered;
     private final double[] served;
-    private final double[] paging;
-    private final int[] backs;
-    private final Map<String, Integer> trouble = new LinkedHashMap<>();
+    private final double[] pagingEngines;
+    private final int[] retriesPerBin;
+    private final Map<String, Integer> eventCounts = new LinkedHashMap<>();
     private long now;
-    private long order;
+    private long nextSequence;
     private int coldArrivals;
 
-    private record Due(long at, long order, Runnable what) implements Comparable<Due> {
+    private record DueTask(long dueAt, long sequence, Runnable task) implements Comparable<DueTask> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        public int compareTo(DueTask other) {
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** A client's try at one front: {@code first} is when it came for the first time. */
-    private record Call(int group, double work, double needMb, long first, int tries) {
+    /** One request of a client; {@code firstSentAt} is the time of the query's first request. */
+    private record ClientRequest(int group, double workTicks, double needMb, long firstSentAt, int number) {
     }
 
-    /** One submission, from its leaving until the front hears of its end. */
-    private static final class Trip {
+    /** One submission, from its start until the front learns its outcome. */
+    private static final class Submission {
         private final Front front;
-        private final int life;
+        private final int frontIncarnation;
         private final Id.Query query;
         private final int number;
         private final Engine engine;
-        private final long since;
-        private Machine.Run run;
+        private final long submittedAt;
+        private EngineModel.Execution execution;
 
-        private Trip(Front front, Id.Query query, int number, Engine engine, long since) {
+        private Submission(Front front, Id.Query query, int number, Engine engine, long submittedAt) {
             this.front = front;
-            this.life = front.life;
+            this.frontIncarnation = front.incarnation;
             this.query = query;
             this.number = number;
             this.engine = engine;
-            this.since = since;
+            this.submittedAt = submittedAt;
         }
     }
 
-    /** One place in the fleet, and the process that has it now. */
+    /** One position in the fleet, with the engine that occupies it now. */
     private final class Engine {
-        private final int at;
-        private Machine machine;
+        private final int index;
+        private EngineModel model;
         private String id;
-        private int births;
+        private int startCount;
         private long startedAt;
         private Health health = Health.UP;
-        private int threadsMost;
-        private double threadsOverTime;
+        private int maxThreads;
+        private double threadsSum;
         private final List<long[]> coldWork = new ArrayList<>();
 
-        private Engine(int at) {
-            this.at = at;
-            born(0);
+        private Engine(int index) {
+            this.index = index;
+            start(0);
         }
 
-        private void born(long started) {
-            id = "e" + at + "." + births++;
-            startedAt = started;
-            machine = new Machine(table.cores(at), table.memoryMb(), table.sessions(), started,
-                    Terms.COLD_FROM,
-                    started == 0 ? 0 : Terms.RAMP_MS * MS);
+        private void start(long startTicks) {
+            id = "e" + index + "." + startCount++;
+            startedAt = startTicks;
+            model = new EngineModel(timetable.cores(index), timetable.memoryMb(), timetable.sessions(),
+                    startTicks,
+                    Terms.COLD_CAPACITY_RATIO,
+                    startTicks == 0 ? 0 : Terms.COLD_RAMP_MS * TICKS_PER_MS);
             health = Health.UP;
             coldWork.clear();
         }
 
         private Event.Listing listing() {
-            return new Event.Listing(new Id.Engine(id), new Id.Kind(Terms.kind(table.cores(at))),
-                    new Id.Zone(String.valueOf(table.site(at))), new Id.Cell(0), health, startedAt);
+            return new Event.Listing(new Id.Engine(id), new Id.Kind(Terms.kind(timetable.cores(index))),
+                    new Id.Zone(String.valueOf(timetable.site(index))), new Id.Cell(0), health, startedAt);
         }
 
-        /** The rule on cold engines: more in the window than what it stands then, and some for chance. */
-        private void coldTakes(double work, double usual) {
-            if (startedAt <= 0 || now - startedAt >= Terms.RAMP_MS * MS) {
+        /** Checks that a cold engine's load in the window is tolerable, with an allowance for variation. */
+        private void checkColdArrival(double workTicks, double meanWork) {
+            if (startedAt <= 0 || now - startedAt >= Terms.COLD_RAMP_MS * TICKS_PER_MS) {
                 return;
             }
             coldArrivals++;
-            long window = Terms.COLD_WINDOW_MS * MS;
-            coldWork.removeIf(w -> w[0] <= now - window);
-            coldWork.add(new long[] {now, Math.round(work)});
-            double stands = table.coldMultiple() * machine.capacity(now) * window / usual;
-            double came = coldWork.stream().mapToLong(w -> w[1]).sum() / usual;
-            require(came <= stands + 2 * Math.sqrt(stands) + 2, "cold engine " + id + " pushed over: " + came
-                    + " usual queries in its window, " + stands + " allowed");
+            long window = Terms.COLD_WINDOW_MS * TICKS_PER_MS;
+            coldWork.removeIf(arrival -> arrival[0] <= now - window);
+            coldWork.add(new long[] {now, Math.round(workTicks)});
+            double toleratedQueries = timetable.coldOverloadMultiple() * model.capacityCores(now) * window
+                    / meanWork;
+            double received = coldWork.stream().mapToLong(arrival -> arrival[1]).sum() / meanWork;
+            require(received <= toleratedQueries + 2 * Math.sqrt(toleratedQueries) + 2, "cold engine " + id
+                    + " overloaded: " + received
+                    + " usual queries in its window, " + toleratedQueries + " allowed");
         }
 
         private void step() {
-            List<Machine.Run> ended = machine.step(now, STEP);
-            threadsMost = Math.max(threadsMost, machine.threads());
-            threadsOverTime += machine.threads();
-            for (Machine.Run run : ended) {
-                Trip trip = (Trip) run.of;
-                if (active(What.SILENT, at) == null) {
-                    trip.front.comes(trip, Outcome.FINISHED, run.work);
+            List<EngineModel.Execution> ended = model.step(now, STEP_TICKS);
+            maxThreads = Math.max(maxThreads, model.threads());
+            threadsSum += model.threads();
+            for (EngineModel.Execution execution : ended) {
+                Submission submission = (Submission) execution.owner;
+                if (activeEntry(What.SILENT, index) == null) {
+                    submission.front.returnOutcome(submission, Outcome.FINISHED, execution.workTicks);
                 }
             }
-            long every = rules.noteEvery();
-            for (Machine.Run run : List.copyOf(machine.runs())) {
-                if (now - run.since >= STEP && (now - run.since) % every < STEP && active(What.SILENT,
-                        at) == null) {
-                    ((Trip) run.of).front.noted((Trip) run.of, run.share());
+            long progressInterval = deployment.noteEvery();
+            for (EngineModel.Execution execution : List.copyOf(model.executions())) {
+                if (now - execution.startedAt >= STEP_TICKS
+                        && (now - execution.startedAt) % progressInterval < STEP_TICKS
+                        && activeEntry(What.SILENT,
+                        index) == null) {
+                    ((Submission) execution.owner).front.returnProgress((Submission) execution.owner,
+                            execution.doneShare());
                 }
             }
         }
     }
 
     private final class Front {
-        private final int at;
-        private int life;
+        private final int index;
+        private int incarnation;
         private boolean alive;
-        private long stoppedFrom;
-        private long stoppedUntil;
-        /** How long it stood still before it reads what it reads now. */
-        private long lag;
-        private long lost;
-        private final List<Runnable> held = new ArrayList<>();
-        private Map<Id.Query, Call> open = new HashMap<>();
-        private Map<Id.Query, Integer> submissions = new HashMap<>();
-        private Map<Id.Query, Trip> out = new HashMap<>();
+        private long pausedAt;
+        private long pausedUntil;
+        /** How long the process was stopped before it reads its present input. */
+        private long readDelay;
+        private long crashedAt;
+        private final List<Runnable> heldInput = new ArrayList<>();
+        private Map<Id.Query, ClientRequest> openQueries = new HashMap<>();
+        private Map<Id.Query, Integer> submissionCounts = new HashMap<>();
+        private Map<Id.Query, Submission> runningSubmissions = new HashMap<>();
         private Set<Id.Query> answered = new HashSet<>();
-        /** Changes that reached an engine, and may not do so again. */
-        private Set<Id.Query> ran = new HashSet<>();
-        private Map<Id.Engine, Long> toldOff = new HashMap<>();
-        private Map<Id.Engine, Long> lastHeard = new HashMap<>();
+        /** Mutating queries that reached an engine and must not reach one again. */
+        private Set<Id.Query> executedMutations = new HashSet<>();
+        private Map<Id.Engine, Long> unavailableSince = new HashMap<>();
+        private Map<Id.Engine, Long> lastHeardAt = new HashMap<>();
         private Control control;
-        private long ids;
+        private long lastQueryId;
 
-        private Front(int at) {
-            this.at = at;
+        private Front(int index) {
+            this.index = index;
         }
 
         private void start() {
-            life++;
+            incarnation++;
             alive = true;
-            open = new HashMap<>();
-            submissions = new HashMap<>();
-            out = new HashMap<>();
+            openQueries = new HashMap<>();
+            submissionCounts = new HashMap<>();
+            runningSubmissions = new HashMap<>();
             answered = new HashSet<>();
-            ran = new HashSet<>();
-            toldOff = new HashMap<>();
-            lastHeard = new HashMap<>();
-            control = new Control(chance.nextLong(), rules, now, this::act);
+            executedMutations = new HashSet<>();
+            unavailableSince = new HashMap<>();
+            lastHeardAt = new HashMap<>();
+            control = new Control(random.nextLong(), deployment, now, this::apply);
             List<Event.Listing> listed = engines.stream().map(Engine::listing).toList();
-            on(new Event.EnginesListed(Event.Reading.COMPLETE, listed));
+            handle(new Event.EnginesListed(Event.Reading.COMPLETE, listed));
         }
 
-        private void dies() {
+        private void crash() {
             alive = false;
             control = null;
-            held.clear();
-            stoppedUntil = 0;
+            heldInput.clear();
+            pausedUntil = 0;
         }
 
-        /** What comes while the process stands still waits in its sockets. */
-        private void later(Runnable what) {
-            int mine = life;
-            Runnable mineOnly = () -> {
-                if (alive && life == mine) {
-                    what.run();
+        /** Delivers input to the front; while its process is stopped, input waits in its sockets. */
+        private void deliver(Runnable input) {
+            int ownIncarnation = incarnation;
+            Runnable inputOfIncarnation = () -> {
+                if (alive && incarnation == ownIncarnation) {
+                    input.run();
                 }
             };
-            if (now < stoppedUntil) {
-                held.add(mineOnly);
+            if (now < pausedUntil) {
+                heldInput.add(inputOfIncarnation);
             } else {
-                mineOnly.run();
+                inputOfIncarnation.run();
             }
         }
 
-        private void goesOn() {
-            List<Runnable> waiting = List.copyOf(held);
-            held.clear();
-            lag = now - stoppedFrom;
+        private void resume() {
+            List<Runnable> waiting = List.copyOf(heldInput);
+            heldInput.clear();
+            readDelay = now - pausedAt;
             waiting.forEach(Runnable::run);
-            lag = 0;
+            readDelay = 0;
         }
 
-        private void on(Event event) {
-            control.on(now, event, this::act);
+        private void handle(Event event) {
+            control.on(now, event, this::apply);
         }
 
-        private void take(Call call) {
-            Id.Query id = new Id.Query(++ids);
-            open.put(id, call);
-            on(new Event.Taken(id, new Id.Group(call.group), new Id.Tenant(0), new Id.DataSet(0),
-                    Math.max(1, Math.round(call.work * Math.exp(0.4 * chance.nextGaussian()))),
-                    call.needMb * Math.exp(0.3 * chance.nextGaussian()), leavesAt(call), null));
+        private void accept(ClientRequest request) {
+            Id.Query id = new Id.Query(++lastQueryId);
+            openQueries.put(id, request);
+            handle(new Event.Taken(id, new Id.Group(request.group), new Id.Tenant(0), new Id.DataSet(0),
+                    Math.max(1, Math.round(request.workTicks * Math.exp(0.4 * random.nextGaussian()))),
+                    request.needMb * Math.exp(0.3 * random.nextGaussian()), deadline(request), null));
         }
 
-        private void act(Action action) {
+        private void apply(Action action) {
             if (action instanceof Action.Submit submit) {
                 submit(submit);
-            } else if (action instanceof Action.WakeMe wake) {
-                int mine = life;
-                at(now + wake.span(), () -> {
-                    if (life == mine) {
-                        later(() -> on(new Event.Woken(wake.timer())));
+            } else if (action instanceof Action.WakeMe wakeUp) {
+                int ownIncarnation = incarnation;
+                schedule(now + wakeUp.span(), () -> {
+                    if (incarnation == ownIncarnation) {
+                        deliver(() -> handle(new Event.Woken(wakeUp.timer())));
                     }
                 });
             } else if (action instanceof Action.Defer defer) {
-                require(defer.comeBack() <= rules.allowed().longestComeBack(),
-                        "a longer time than is heeded");
-                require(!ran.contains(defer.query()), "a change that may have run was deferred");
-                Call call = answer(defer.query());
-                comesBack(call, now + Math.max(defer.comeBack(), 5 * MS));
+                require(defer.comeBack() <= deployment.allowed().longestComeBack(),
+                        "a retry time above the limit");
+                require(!executedMutations.contains(defer.query()),
+                        "a mutating query that may have run was deferred");
+                ClientRequest request = finishQuery(defer.query());
+                scheduleRetry(request, now + Math.max(defer.comeBack(), 5 * TICKS_PER_MS));
             } else if (action instanceof Action.Kill kill) {
-                answer(kill.query());
+                finishQuery(kill.query());
                 count("killed");
             }
         }
 
-        private void comesBack(Call call, long back) {
-            if (call.tries < Terms.SEND_CAP && back < leavesAt(call)) {
-                backs[(int) Math.min(backs.length - 1, (back - START) / BIN)]++;
-                at(back, () -> arrives(new Call(call.group, call.work, call.needMb, call.first, call.tries
+        private void scheduleRetry(ClientRequest request, long retryAt) {
+            if (request.number < Terms.MAX_SUBMISSIONS && retryAt < deadline(request)) {
+                retriesPerBin[(int) Math.min(retriesPerBin.length - 1,
+                        (retryAt - START_TICKS) / RETRY_BIN_TICKS)]++;
+                schedule(retryAt, () ->
+                        dispatch(new ClientRequest(request.group, request.workTicks, request.needMb,
+                        request.firstSentAt, request.number
                         + 1), this));
             }
         }
 
         private void submit(Action.Submit submit) {
-            Call call = open.get(submit.query());
-            int number = submissions.merge(submit.query(), 1, Integer::sum) - 1;
-            require(call != null && !answered.contains(submit.query()), "a submission for what is over");
-            require(!out.containsKey(submit.query()), "two submissions at once");
-            require(number < rules.allowed().submissions(), "a submission too many");
+            ClientRequest request = openQueries.get(submit.query());
+            int number = submissionCounts.merge(submit.query(), 1, Integer::sum) - 1;
+            require(request != null && !answered.contains(submit.query()),
+                    "a submission for a query that has ended");
+            require(!runningSubmissions.containsKey(submit.query()), "two submissions at once");
+            require(number < deployment.allowed().submissions(), "more submissions than the limit");
             Engine engine = engines.stream().filter(e -> submit.engine().address().equals(e.id)).findAny()
                     .orElse(null);
-            long off = toldOff.getOrDefault(submit.engine(), Long.MAX_VALUE);
-            require(off > now - Terms.DRAIN_MS * MS, "a submission to " + submit.engine().address()
-                    + ", which was told to be off");
-            Trip trip = new Trip(this, submit.query(), number, engine, now);
-            out.put(submit.query(), trip);
-            Entry cut = engine == null ? null : cut(at, engine.at);
+            long offSince = unavailableSince.getOrDefault(submit.engine(), Long.MAX_VALUE);
+            require(offSince > now - Terms.DRAIN_MS * TICKS_PER_MS, "a submission to "
+                    + submit.engine().address()
+                    + ", which is listed as unavailable");
+            Submission submission = new Submission(this, submit.query(), number, engine, now);
+            runningSubmissions.put(submit.query(), submission);
+            Entry cut = engine == null ? null : activeCut(index, engine.index);
             if (engine == null || engine.health == Health.GONE || cut != null && cut.what() == What.REFUSE) {
-                at(now + MS, () -> comes(trip, Outcome.UNREACHABLE, 0));
+                schedule(now + TICKS_PER_MS, () -> returnOutcome(submission, Outcome.UNREACHABLE, 0));
             } else if (cut != null && cut.what() != What.CUT_BACK) {
-                // An open connection takes it and says nothing; once that is known no new one comes up.
-                if (now - lastHeard.getOrDefault(submit.engine(), 0L) > SECOND + Terms.CONNECT_MS * MS) {
-                    at(now + Terms.CONNECT_MS * MS, () -> comes(trip, Outcome.UNREACHABLE, 0));
+                // An open connection accepts the command silently; once it is given up, connects time out.
+                if (now - lastHeardAt.getOrDefault(submit.engine(), 0L) > TICKS_PER_SECOND
+                        + Terms.CONNECT_TIMEOUT_MS * TICKS_PER_MS) {
+                    schedule(now + Terms.CONNECT_TIMEOUT_MS * TICKS_PER_MS,
+                            () -> returnOutcome(submission, Outcome.UNREACHABLE, 0));
                 } else {
-                    at(cut.until(), () -> reaches(trip, call));
+                    schedule(cut.until(), () -> arriveAtEngine(submission, request));
                 }
             } else {
-                Entry delay = link(What.DELAY, at, engine.at);
-                at(now + MS / 2 + (delay == null ? 0 : delay.by()), () -> reaches(trip, call));
+                Entry delay = activeLinkFault(What.DELAY, index, engine.index);
+                schedule(now + TICKS_PER_MS / 2 + (delay == null ? 0 : delay.byTicks()),
+                        () -> arriveAtEngine(submission, request));
             }
         }
 
-        private void reaches(Trip trip, Call call) {
-            Engine engine = trip.engine;
+        private void arriveAtEngine(Submission submission, ClientRequest request) {
+            Engine engine = submission.engine;
             if (engine.health == Health.GONE) {
-                comes(trip, Outcome.UNREACHABLE, 0);
+                returnOutcome(submission, Outcome.UNREACHABLE, 0);
                 return;
             }
-            boolean fails = active(What.FAIL, engine.at) != null;
+            boolean fails = activeEntry(What.FAIL, engine.index) != null;
             if (!fails) {
-                engine.coldTakes(call.work, meanWork());
-                trip.run = engine.machine.take(trip, call.work, call.needMb, Terms.THREADS[call.group], now);
-                if (trip.run == null) {
-                    comes(trip, Outcome.TURNED_AWAY, 0);
+                engine.checkColdArrival(request.workTicks, meanWorkTicks());
+                submission.execution = engine.model.start(submission, request.workTicks, request.needMb,
+                        Terms.THREADS_PER_QUERY[request.group], now);
+                if (submission.execution == null) {
+                    returnOutcome(submission, Outcome.TURNED_AWAY, 0);
                     return;
                 }
             }
-            // A front that has died meanwhile answers for nothing any more.
-            require(call.group != Terms.CHANGE || trip.life != life || ran.add(trip.query),
-                    "a change run twice");
+            // A submission of a front that has crashed meanwhile is not checked.
+            require(request.group != Terms.MUTATING_GROUP || submission.frontIncarnation != incarnation
+                    || executedMutations.add(submission.query),
+                    "a mutating query ran twice");
             if (fails) {
-                comes(trip, Outcome.ERROR, 0);
+                returnOutcome(submission, Outcome.ERROR, 0);
             }
         }
 
-        /** An end on its way back to the front. */
-        private void comes(Trip trip, Outcome outcome, double work) {
-            Entry cut = trip.engine == null ? null : cut(at, trip.engine.at);
+        /** Sends the outcome of a submission back to the front, under the faults of the link. */
+        private void returnOutcome(Submission submission, Outcome outcome, double workTicks) {
+            Entry cut = submission.engine == null ? null : activeCut(index, submission.engine.index);
             if (cut != null && cut.what() != What.CUT_THERE && cut.what() != What.REFUSE
                     && outcome != Outcome.UNREACHABLE) {
-                at(cut.until(), () -> comes(trip, outcome, work));
+                schedule(cut.until(), () -> returnOutcome(submission, outcome, workTicks));
                 return;
             }
-            Entry delay = trip.engine == null ? null : link(What.DELAY, at, trip.engine.at);
+            Entry delay = submission.engine == null ? null
+                    : activeLinkFault(What.DELAY, index, submission.engine.index);
             if (delay != null && outcome != Outcome.UNREACHABLE) {
-                at(now + delay.by(), () -> later(() -> ended(trip, outcome, work)));
+                schedule(now + delay.byTicks(), () ->
+                        deliver(() -> endSubmission(submission, outcome, workTicks)));
             } else {
-                later(() -> ended(trip, outcome, work));
+                deliver(() -> endSubmission(submission, outcome, workTicks));
             }
         }
 
-        private void noted(Trip trip, double share) {
-            Entry cut = cut(at, trip.engine.at);
-            if (trip.life == life && (cut == null || cut.what() == What.CUT_THERE)) {
-                later(() -> {
-                    if (out.get(trip.query) == trip) {
-                        lastHeard.put(new Id.Engine(trip.engine.id), now);
-                        on(new Event.ShareDone(trip.query, new Id.Submission(trip.number), share, lag));
+        private void returnProgress(Submission submission, double share) {
+            Entry cut = activeCut(index, submission.engine.index);
+            if (submission.frontIncarnation == incarnation && (cut == null || cut.what() == What.CUT_THERE)) {
+                deliver(() -> {
+                    if (runningSubmissions.get(submission.query) == submission) {
+                        lastHeardAt.put(new Id.Engine(submission.engine.id), now);
+                        handle(new Event.ShareDone(submission.query, new Id.Submission(submission.number),
+                                share, readDelay));
                     }
                 });
             }
         }
 
-        private void ended(Trip trip, Outcome outcome, double work) {
-            if (trip.life != life || !out.remove(trip.query, trip)) {
+        private void endSubmission(Submission submission, Outcome outcome, double workTicks) {
+            if (submission.frontIncarnation != incarnation
+                    || !runningSubmissions.remove(submission.query, submission)) {
                 return;
             }
-            Call call = open.get(trip.query);
-            if (outcome == Outcome.FINISHED && answered.add(trip.query)) {
-                boolean inTime = now - call.first <= Terms.target(call.group, call.work / MS);
-                served[second(call.first)] += inTime ? Terms.VALUE[call.group] : 0;
+            ClientRequest request = openQueries.get(submission.query);
+            if (outcome == Outcome.FINISHED && answered.add(submission.query)) {
+                boolean inTime = now - request.firstSentAt
+                        <= Terms.targetRuntimeTicks(request.group, request.workTicks / TICKS_PER_MS);
+                served[secondOf(request.firstSentAt)] += inTime ? Terms.VALUE_PER_GROUP[request.group] : 0;
                 count(inTime ? "in time" : "late");
             }
-            boolean well = outcome == Outcome.FINISHED || outcome == Outcome.ERROR;
-            if (well) {
-                lastHeard.put(new Id.Engine(trip.engine.id), now);
-                if (active(What.MUTE, trip.engine.at) == null) {
-                    on(new Event.LoadReported(new Id.Engine(trip.engine.id),
-                            active(What.LIE, trip.engine.at) != null
-                                    ? new Load(0, 0, Double.NaN, 0, 0) : trip.engine.machine.load()));
+            boolean answeredByEngine = outcome == Outcome.FINISHED || outcome == Outcome.ERROR;
+            if (answeredByEngine) {
+                lastHeardAt.put(new Id.Engine(submission.engine.id), now);
+                if (activeEntry(What.MUTE, submission.engine.index) == null) {
+                    handle(new Event.LoadReported(new Id.Engine(submission.engine.id),
+                            activeEntry(What.LIE, submission.engine.index) != null
+                                    ? new Load(0, 0, Double.NaN, 0, 0) : submission.engine.model.load()));
                 }
             }
-            on(new Event.Closed(trip.query, new Id.Submission(trip.number), outcome,
-                    answered.contains(trip.query), now - trip.since, Math.min(lag, now - trip.since),
-                    outcome == Outcome.FINISHED ? Math.round(work) : 0));
-            forget(trip.query);
+            handle(new Event.Closed(submission.query, new Id.Submission(submission.number), outcome,
+                    answered.contains(submission.query), now - submission.submittedAt,
+                    Math.min(readDelay, now - submission.submittedAt),
+                    outcome == Outcome.FINISHED ? Math.round(workTicks) : 0));
+            forgetIfEnded(submission.query);
         }
 
-        private Call answer(Id.Query id) {
-            require(open.containsKey(id) && answered.add(id), "two final answers");
-            Call call = open.get(id);
-            forget(id);
-            return call;
+        private ClientRequest finishQuery(Id.Query id) {
+            require(openQueries.containsKey(id) && answered.add(id), "two final answers");
+            ClientRequest request = openQueries.get(id);
+            forgetIfEnded(id);
+            return request;
         }
 
-        private void forget(Id.Query id) {
-            if (answered.contains(id) && !out.containsKey(id)) {
-                open.remove(id);
-                submissions.remove(id);
+        private void forgetIfEnded(Id.Query id) {
+            if (answered.contains(id) && !runningSubmissions.containsKey(id)) {
+                openQueries.remove(id);
+                submissionCounts.remove(id);
                 answered.remove(id);
-                ran.remove(id);
+                executedMutations.remove(id);
             }
         }
 
         private void step() {
-            if (!alive || now < stoppedUntil) {
+            if (!alive || now < pausedUntil) {
                 return;
             }
-            for (Trip trip : List.copyOf(out.values())) {
-                if (now >= leavesAt(open.get(trip.query))) {
-                    ended(trip, Outcome.TIMED_OUT, 0);
+            for (Submission submission : List.copyOf(runningSubmissions.values())) {
+                if (now >= deadline(openQueries.get(submission.query))) {
+                    endSubmission(submission, Outcome.TIMED_OUT, 0);
                 }
             }
-            long slack = ANSWER_GRACE + Math.max(0, now - stoppedUntil < SECOND / 4 ? SECOND : 0);
-            open.forEach((id, call) -> require(answered.contains(id) || now <= leavesAt(call) + slack,
+            long grace = ANSWER_GRACE_TICKS + Math.max(0, now - pausedUntil < TICKS_PER_SECOND / 4
+                    ? TICKS_PER_SECOND : 0);
+            openQueries.forEach((id, request) ->
+                    require(answered.contains(id) || now <= deadline(request) + grace,
                     "no final answer in time"));
         }
 
-        private void told(Event.Listing listing) {
-            later(() -> {
+        private void receiveListing(Event.Listing listing) {
+            deliver(() -> {
                 if (listing.health() == Health.UP) {
-                    toldOff.remove(listing.engine());
+                    unavailableSince.remove(listing.engine());
                 } else {
-                    toldOff.putIfAbsent(listing.engine(), now);
+                    unavailableSince.putIfAbsent(listing.engine(), now);
                 }
-                on(new Event.EnginesListed(Event.Reading.CHANGES, List.of(listing)));
+                handle(new Event.EnginesListed(Event.Reading.CHANGES, List.of(listing)));
             });
         }
 
-        /** All connections to an engine, or to all, are gone. */
-        private void reset(int engine) {
-            for (Trip trip : List.copyOf(out.values())) {
-                if (trip.engine != null && trip.engine.at == engine) {
-                    later(() -> ended(trip, Outcome.BROKEN, 0));
+        /** Breaks all connections to an engine. */
+        private void breakConnections(int engine) {
+            for (Submission submission : List.copyOf(runningSubmissions.values())) {
+                if (submission.engine != null && submission.engine.index == engine) {
+                    deliver(() -> endSubmission(submission, Outcome.BROKEN, 0));
                 }
             }
         }
     }
 
-    public VirtualFleet(Timetable table, long seed) {
-        this.table = table;
+    public VirtualFleet(Timetable timetable, long seed) {
+        this.timetable = timetable;
         this.seed = seed;
-        this.rules = Terms.deployment(table);
-        this.chance = new SplittableRandom(seed);
-        this.now = START;
-        int seconds = (int) ((table.length() + table.settle()) / SECOND) + 2;
+        this.deployment = Terms.deployment(timetable);
+        this.random = new SplittableRandom(seed);
+        this.now = START_TICKS;
+        int seconds = (int) ((timetable.length() + timetable.settle()) / TICKS_PER_SECOND) + 2;
         this.offered = new double[seconds];
         this.served = new double[seconds];
-        this.paging = new double[seconds];
-        this.backs = new int[(int) ((seconds + 10) * SECOND / BIN)];
-        IntStream.range(0, table.engines()).forEach(k -> engines.add(new Engine(k)));
-        IntStream.range(0, table.fronts()).forEach(k -> fronts.add(new Front(k)));
+        this.pagingEngines = new double[seconds];
+        this.retriesPerBin = new int[(int) ((seconds + 10) * TICKS_PER_SECOND / RETRY_BIN_TICKS)];
+        IntStream.range(0, timetable.engines()).forEach(k -> engines.add(new Engine(k)));
+        IntStream.range(0, timetable.fronts()).forEach(k -> fronts.add(new Front(k)));
         fronts.forEach(Front::start);
     }
 
-    /** How many submissions reached engines while they were cold. */
+    /** The number of submissions that reached cold engines. */
     public int coldArrivals() {
         return coldArrivals;
     }
 
-    /** Plays the whole timetable, then lets what is open end. */
+    /** Plays the whole timetable, and the settling time in which open queries end. */
     public VirtualFleet play() {
-        for (Entry entry : table.entries()) {
-            hitFronts.put(entry, table.frontsOf(entry, seed));
-            hitEngines.put(entry, table.enginesOf(entry, seed));
-            at(START + entry.at(), () -> begins(entry));
-            at(START + entry.until(), () -> ends(entry));
-        }
-        double[] parts = IntStream.range(0, table.fronts()).mapToDouble(table::part).toArray();
-        long end = START + table.length() + table.settle();
+        for (Entry entry : timetable.entries()) {
+            affectedFronts.put(entry, timetable.frontsOf(entry, seed));
+            affectedEngines.put(entry, timetable.enginesOf(entry, seed));
+            schedule(START_TICKS + entry.at(), () -> beginEntry(entry));
+            schedule(START_TICKS + entry.until(), () -> endEntry(entry));
+        }
+        double[] queryShares = IntStream.range(0, timetable.fronts()).mapToDouble(timetable::queryShare)
+                .toArray();
+        long end = START_TICKS + timetable.length() + timetable.settle();
         while (now < end) {
-            now += STEP;
-            if (now < START + table.length()) {
-                double rate = table.perSecond() * times(What.BURST, -1) * STEP / SECOND;
-                for (int k = (int) rate + (chance.nextDouble() < rate % 1 ? 1 : 0); k > 0; k--) {
-                    asks(parts);
+            now += STEP_TICKS;
+            if (now < START_TICKS + timetable.length()) {
+                double rate = timetable.queriesPerSecond() * activeFactor(What.BURST, -1) * STEP_TICKS
+                        / TICKS_PER_SECOND;
+                for (int k = (int) rate + (random.nextDouble() < rate % 1 ? 1 : 0); k > 0; k--) {
+                    sendNewQuery(queryShares);
                 }
             }
-            while (!due.isEmpty() && due.peek().at <= now) {
-                due.poll().what.run();
+            while (!dueTasks.isEmpty() && dueTasks.peek().dueAt <= now) {
+                dueTasks.poll().task.run();
             }
             engines.forEach(Engine::step);
             fronts.forEach(Front::step);
-            paging[second(now)] += engines.stream().filter(e -> e.machine.memoryUsed() > 1).count()
-                    * (double) STEP / SECOND;
+            pagingEngines[secondOf(now)] += engines.stream().filter(e -> e.model.memoryUtilization() > 1)
+                    .count()
+                    * (double) STEP_TICKS / TICKS_PER_SECOND;
         }
         return this;
     }
 
-    private void asks(double[] parts) {
-        int group = table.mix().group(chance);
-        double draw = chance.nextDouble();
-        int at = 0;
-        while (at < parts.length - 1 && (draw -= parts[at]) >= 0) {
-            at++;
+    private void sendNewQuery(double[] queryShares) {
+        int group = timetable.mix().group(random);
+        double draw = random.nextDouble();
+        int front = 0;
+        while (front < queryShares.length - 1 && (draw -= queryShares[front]) >= 0) {
+            front++;
         }
-        offered[second(now)] += Terms.VALUE[group];
+        offered[secondOf(now)] += Terms.VALUE_PER_GROUP[group];
         count("asked");
-        arrives(new Call(group, MS * table.mix().workMs(group, chance), table.mix().needMb(group, chance),
+        dispatch(new ClientRequest(group, TICKS_PER_MS * timetable.mix().workMs(group, random),
+                timetable.mix().needMb(group, random),
                 now, 1),
-                fronts.get(at));
+                fronts.get(front));
     }
 
-    private void arrives(Call call, Front front) {
-        Front to = front;
-        // The layer before the fronts turns to another once it has noticed.
-        for (int k = 0; k < fronts.size() && !to.alive; k++) {
-            if (to.lost > now - LAYER_NOTICES) {
+    private void dispatch(ClientRequest request, Front preferredFront) {
+        Front candidate = preferredFront;
+        // The load balancer switches to another front once it has noticed the failure.
+        for (int k = 0; k < fronts.size() && !candidate.alive; k++) {
+            if (candidate.crashedAt > now - BALANCER_NOTICES_TICKS) {
                 count("met a dead front");
                 return;
             }
-            to = fronts.get(chance.nextInt(fronts.size()));
+            candidate = fronts.get(random.nextInt(fronts.size()));
         }
-        Front taker = to;
-        if (taker.alive && leavesAt(call) > now) {
-            taker.later(() -> taker.take(call));
+        Front chosenFront = candidate;
+        if (chosenFront.alive && deadline(request) > now) {
+            chosenFront.deliver(() -> chosenFront.accept(request));
         }
     }
 
-    private void at(long time, Runnable what) {
-        due.add(new Due(time, order++, what));
+    private void schedule(long time, Runnable task) {
+        dueTasks.add(new DueTask(time, nextSequence++, task));
     }
 
-    private Entry active(What what, int engine) {
-        return table.entries().stream().filter(e -> e.what() == what && runs(e)
-                && hitEngines.get(e).contains(engine)).findAny().orElse(null);
+    private Entry activeEntry(What type, int engine) {
+        return timetable.entries().stream().filter(e -> e.what() == type && isActive(e)
+                && affectedEngines.get(e).contains(engine)).findAny().orElse(null);
     }
 
-    private boolean runs(Entry e) {
-        return hitEngines.containsKey(e) && now >= START + e.at() && now < START + e.until();
+    private boolean isActive(Entry e) {
+        return affectedEngines.containsKey(e) && now >= START_TICKS + e.at() && now < START_TICKS + e.until();
     }
 
-    private double times(What what, int engine) {
-        return table.entries().stream().filter(e -> e.what() == what && runs(e)
-                && (engine < 0 || hitEngines.get(e).contains(engine))).mapToDouble(Entry::times).max()
+    private double activeFactor(What type, int engine) {
+        return timetable.entries().stream().filter(e -> e.what() == type && isActive(e)
+                && (engine < 0 || affectedEngines.get(e).contains(engine))).mapToDouble(Entry::times).max()
                         .orElse(1);
     }
 
-    private Entry link(What what, int front, int engine) {
-        return table.entries().stream().filter(e -> e.what() == what && e.link() == Timetable.Link.ENGINE
-                && runs(e)
-                && hitFronts.get(e).contains(front) && hitEngines.get(e).contains(engine)).findAny()
+    private Entry activeLinkFault(What type, int front, int engine) {
+        return timetable.entries().stream().filter(e -> e.what() == type && e.link() == Timetable.Link.ENGINE
+                && isActive(e)
+                && affectedFronts.get(e).contains(front) && affectedEngines.get(e).contains(engine)).findAny()
                         .orElse(null);
     }
 
-    /**
-     * What keeps the front from the engine now, or the engine from it; its times are of the fleet's clock.
-     */
-    private Entry cut(int front, int engine) {
-        for (What what : List.of(What.REFUSE, What.CUT, What.CUT_THERE, What.CUT_BACK)) {
-            Entry entry = link(what, front, engine);
+    /** The active fault that cuts the link between front and engine, with times on the fleet's clock. */
+    private Entry activeCut(int front, int engine) {
+        for (What type : List.of(What.REFUSE, What.CUT, What.CUT_THERE, What.CUT_BACK)) {
+            Entry entry = activeLinkFault(type, front, engine);
             if (entry != null) {
-                return new Entry(entry.title(), START + entry.at(), entry.span(), what, entry.link(), "all",
+                return new Entry(entry.title(), START_TICKS + entry.at(), entry.span(), type, entry.link(),
+                        "all",
                         "all", 0,
                         1, 0);
             }
@@ -546,151 +575,154 @@
         return null;
     }
 
-    private void begins(Entry entry) {
-        Set<Integer> ofFronts = hitFronts.get(entry);
-        Set<Integer> ofEngines = hitEngines.get(entry);
+    private void beginEntry(Entry entry) {
+        Set<Integer> frontIndexes = affectedFronts.get(entry);
+        Set<Integer> engineIndexes = affectedEngines.get(entry);
         switch (entry.what()) {
-            case KILL, LEAVE -> ofFronts.forEach(k -> {
-                fronts.get(k).dies();
-                fronts.get(k).lost = now;
+            case KILL, LEAVE -> frontIndexes.forEach(k -> {
+                fronts.get(k).crash();
+                fronts.get(k).crashedAt = now;
             });
-            case STOP -> ofFronts.forEach(k -> {
-                fronts.get(k).stoppedFrom = now;
-                fronts.get(k).stoppedUntil = START + entry.until();
+            case STOP -> frontIndexes.forEach(k -> {
+                fronts.get(k).pausedAt = now;
+                fronts.get(k).pausedUntil = START_TICKS + entry.until();
             });
             case REFUSE, RESET, HALF_OPEN -> {
                 if (entry.link() == Timetable.Link.ENGINE) {
-                    ofFronts.forEach(f -> ofEngines.forEach(e -> fronts.get(f).reset(e)));
+                    frontIndexes.forEach(f -> engineIndexes.forEach(e -> fronts.get(f).breakConnections(e)));
                 }
             }
-            case SLOW -> ofEngines.forEach(e -> engines.get(e).machine.slower(entry.times()));
+            case SLOW -> engineIndexes.forEach(e -> engines.get(e).model.slowdown(entry.times()));
             case REPLACE -> {
                 int k = 0;
-                for (int e : ofEngines) {
-                    at(now + entry.span() * k++ / Math.max(1, ofEngines.size()), () -> replace(engines
+                for (int e : engineIndexes) {
+                    schedule(now + entry.span() * k++ / Math.max(1, engineIndexes.size()),
+                            () -> replaceEngine(engines
                             .get(e)));
                 }
             }
             default -> {
-                // asked for when it matters
+                // evaluated where the fault applies
             }
         }
     }
 
-    private void ends(Entry entry) {
+    private void endEntry(Entry entry) {
         switch (entry.what()) {
-            case KILL, LEAVE -> hitFronts.get(entry).forEach(k -> fronts.get(k).start());
-            case STOP -> hitFronts.get(entry).forEach(k -> fronts.get(k).goesOn());
-            case SLOW -> hitEngines.get(entry).forEach(e -> engines.get(e).machine.slower(1));
+            case KILL, LEAVE -> affectedFronts.get(entry).forEach(k -> fronts.get(k).start());
+            case STOP -> affectedFronts.get(entry).forEach(k -> fronts.get(k).resume());
+            case SLOW -> affectedEngines.get(entry).forEach(e -> engines.get(e).model.slowdown(1));
             default -> {
-                // over by its time
+                // ends by itself
             }
         }
     }
 
-    private void replace(Engine engine) {
+    private void replaceEngine(Engine engine) {
         engine.health = Health.DRAINING;
-        tell(engine.listing());
-        at(now + SECOND, () -> {
+        announceHealth(engine.listing());
+        schedule(now + TICKS_PER_SECOND, () -> {
             engine.health = Health.GONE;
-            tell(engine.listing());
-            for (Machine.Run run : List.copyOf(engine.machine.runs())) {
-                Trip trip = (Trip) run.of;
-                trip.front.comes(trip, Outcome.BROKEN, 0);
+            announceHealth(engine.listing());
+            for (EngineModel.Execution execution : List.copyOf(engine.model.executions())) {
+                Submission submission = (Submission) execution.owner;
+                submission.front.returnOutcome(submission, Outcome.BROKEN, 0);
             }
-            engine.machine.dies();
-            at(now + SECOND / 5, () -> {
-                engine.born(now);
-                tell(engine.listing());
+            engine.model.dropAll();
+            schedule(now + TICKS_PER_SECOND / 5, () -> {
+                engine.start(now);
+                announceHealth(engine.listing());
             });
         });
     }
 
-    private void tell(Event.Listing listing) {
+    private void announceHealth(Event.Listing listing) {
         for (Front front : fronts) {
-            long lag = chance.nextLong(LIST_SPREAD);
-            for (Entry e : table.entries()) {
-                lag += e.what() == What.LATE_LIST && runs(e) && hitFronts.get(e).contains(front.at)
-                        ? chance.nextLong(Math.max(1, e.by())) : 0;
+            long lag = random.nextLong(LIST_DELAY_SPREAD_TICKS);
+            for (Entry e : timetable.entries()) {
+                lag += e.what() == What.LATE_LIST && isActive(e)
+                        && affectedFronts.get(e).contains(front.index)
+                        ? random.nextLong(Math.max(1, e.byTicks())) : 0;
             }
-            at(now + lag, () -> {
+            schedule(now + lag, () -> {
                 if (front.alive) {
-                    front.told(listing);
+                    front.receiveListing(listing);
                 }
             });
         }
     }
 
-    private double meanWork() {
-        return MS * table.mix().meanWorkMs();
+    private double meanWorkTicks() {
+        return TICKS_PER_MS * timetable.mix().meanWorkMs();
     }
 
-    private int second(long at) {
-        return (int) ((at - START) / SECOND);
+    private int secondOf(long time) {
+        return (int) ((time - START_TICKS) / TICKS_PER_SECOND);
     }
 
-    private long leavesAt(Call call) {
-        return call.first + MS * Terms.leavesMs(table, call.group);
+    private long deadline(ClientRequest request) {
+        return request.firstSentAt + TICKS_PER_MS * Terms.leavesMs(timetable, request.group);
     }
 
-    private void count(String what) {
-        trouble.merge(what, 1, Integer::sum);
+    private void count(String event) {
+        eventCounts.merge(event, 1, Integer::sum);
     }
 
-    private void require(boolean holds, String what) {
-        Rig.require(holds, what + " (" + table + ", seed " + seed + ", at " + (now - START) / MS + " ms)");
+    private void require(boolean holds, String breach) {
+        Rig.require(holds, breach + " (" + timetable + ", seed " + seed + ", at "
+                + (now - START_TICKS) / TICKS_PER_MS + " ms)");
     }
 
-    // ---- figures
+    // ---- results
 
-    /** The share of the value of what first came in these seconds that was answered within its target. */
+    /** The share of the value offered in these seconds that was answered within its target runtime. */
     public double served(int from, int to) {
         return IntStream.range(from, to).mapToDouble(k -> served[k]).sum()
                 / IntStream.range(from, to).mapToDouble(k -> offered[k]).sum();
     }
 
     public double served() {
-        return served(0, (int) (table.length() / SECOND));
+        return served(0, (int) (timetable.length() / TICKS_PER_SECOND));
     }
 
-    /** Engines out of memory, on average over these seconds. */
-    public double paging(int from, int to) {
-        return IntStream.range(from, to).mapToDouble(k -> paging[k]).sum() / (to - from);
+    /** The mean number of engines with overcommitted memory over these seconds. */
+    public double pagingEngines(int from, int to) {
+        return IntStream.range(from, to).mapToDouble(k -> pagingEngines[k]).sum() / (to - from);
     }
 
-    /** The busiest engine's threads a core over the mean of all, over the whole run. */
-    public double unevenness() {
-        double[] each = engines.stream().mapToDouble(e -> e.threadsOverTime / e.machine.cores()).toArray();
+    /** The threads per core of the busiest engine over the whole run, as a ratio of the mean of all. */
+    public double busiestRatio() {
+        double[] each = engines.stream().mapToDouble(e -> e.threadsSum / e.model.cores()).toArray();
         return Arrays.stream(each).max().orElse(0) / Arrays.stream(each).average().orElse(1);
     }
 
-    /** The idlest engine's threads a core over the mean of all, over the whole run. */
-    public double idlest() {
-        double[] each = engines.stream().mapToDouble(e -> e.threadsOverTime / e.machine.cores()).toArray();
+    /** The threads per core of the idlest engine over the whole run, as a ratio of the mean of all. */
+    public double idlestRatio() {
+        double[] each = engines.stream().mapToDouble(e -> e.threadsSum / e.model.cores()).toArray();
         return Arrays.stream(each).min().orElse(0) / Arrays.stream(each).average().orElse(1);
     }
 
-    /** Threads a core of all engines of that size over the mean of all. */
-    public double ofSize(double cores) {
-        double own = engines.stream().filter(e -> e.machine.cores() == cores).mapToDouble(e ->
-                e.threadsOverTime).sum()
-                / engines.stream().filter(e -> e.machine.cores() == cores).mapToDouble(e -> e.machine.cores())
+    /** The threads per core of all engines of that size, as a ratio of the mean of all. */
+    public double loadRatioOfSize(double cores) {
+        double own = engines.stream().filter(e -> e.model.cores() == cores).mapToDouble(e ->
+                e.threadsSum).sum()
+                / engines.stream().filter(e -> e.model.cores() == cores).mapToDouble(e -> e.model.cores())
                         .sum();
-        return own * engines.stream().mapToDouble(e -> e.machine.cores()).sum()
-                / engines.stream().mapToDouble(e -> e.threadsOverTime).sum();
+        return own * engines.stream().mapToDouble(e -> e.model.cores()).sum()
+                / engines.stream().mapToDouble(e -> e.threadsSum).sum();
     }
 
-    /** The most threads a core that any engine ever had. */
+    /** The highest number of threads per core on any engine. */
     public double mostThreads() {
-        return engines.stream().mapToDouble(e -> e.threadsMost / e.machine.cores()).max().orElse(0);
+        return engines.stream().mapToDouble(e -> e.maxThreads / e.model.cores()).max().orElse(0);
     }
 
-    /** The most clients that came back within a tenth of a second. */
-    public int mostBacks() {
-        return Arrays.stream(backs).max().orElse(0);
+    /** The highest number of client retries within 100 ms. */
+    public int peakRetries() {
+        return Arrays.stream(retriesPerBin).max().orElse(0);
     }
 
     public Map<String, Integer> counts() {
-        return trouble;
+        return eventCounts;
     }
 }
--- a/src/test/java/reedspring/fleet/FleetIT.java
+++ b/src/test/java/reedspring/fleet/FleetIT.java
@@ -5,19 +5,19 @@
 import java.nio.file.Path;
 import net.jqwik.api.Example;
 import reedspring.rig.fleet.Fleet;
-import reedspring.rig.fleet.Tally;
+import reedspring.rig.fleet.RunSummary;
 
 /**
- * Eight processes of the program with faults between them. The rules are checked by {@code rig.fleet.Rules}
- * over all that was seen at clients and engines; served is asserted only far below what was measured, since
- * a machine full of processes is no yardstick.
+ * Runs timetables with faults on eight front processes. {@link reedspring.rig.fleet.RunChecker} checks the
+ * rules on everything that clients and engines saw. The limits on the served share are far below the measured
+ * values, since performance varies on a machine that runs many processes.
  */
 class FleetIT {
     private static void play(String name, long seed, double servedAtLeast) throws Exception {
-        Tally tally = Fleet.play(Path.of("bench/timetables/" + name), seed);
-        System.out.println(name + " " + tally);
-        assertTrue(tally.queries() > 500, "asked: " + tally);
-        assertTrue(tally.served() >= servedAtLeast, "served: " + tally);
+        RunSummary summary = Fleet.play(Path.of("bench/timetables/" + name), seed);
+        System.out.println(name + " " + summary);
+        assertTrue(summary.queries() > 500, "queries: " + summary);
+        assertTrue(summary.servedShare() >= servedAtLeast, "served: " + summary);
     }
 
     @Example
--- a/src/test/java/reedspring/fleet/SoakIT.java
+++ b/src/test/java/reedspring/fleet/SoakIT.java
@@ -5,12 +5,14 @@
 import java.nio.file.Path;
 import java.util.List;
 import net.jqwik.api.Example;
-import reedspring.rig.fleet.Rules;
+import reedspring.rig.fleet.RunChecker;
 import reedspring.rig.fleet.Soak;
 
 /**
- * The fault soak, short: seeds whose days hold starts under failing calls, signals in series, ends with short
- * deadlines, a crowd, copied traces. A find fails with its seed; the long form is bench/soak.
+ * A short run of the randomized fault test. The seeds are chosen for starts under failing system calls,
+ * series
+ * of signals, shutdowns with short deadlines, many idle connections and copied traces. A failure names its
+ * seed; bench/soak plays longer runs.
  */
 class SoakIT {
     private static final int PLAYS = 2;
@@ -26,19 +28,19 @@
         assertTrue(judged > 0, "the machine was too busy to judge any day");
     }
 
-    /** A front is stopped; a request and the copy of its trace come meanwhile. */
+    /** A request and another with a copy of its trace arrive while the front's process is stopped. */
     @Example
     void aCopyThatComesWhileAFrontStandsStillGoesNowhere() throws Exception {
         assertTrue(judges(COPY_DURING_STOP), "the machine was too busy to judge the day");
     }
 
-    /** False if the machine was too busy for the rig itself, each time; a rule that breaks is thrown. */
+    /** Returns false if the rig itself stalled in every run; throws if a run breaks a rule. */
     private static boolean judges(long seed) throws Exception {
         for (int play = 1; play <= PLAYS; play++) {
             try {
                 System.out.println("soak, seed " + seed + ": " + Soak.play(seed, 0, Path.of(".")));
                 return true;
-            } catch (Rules.VoidRunException e) {
+            } catch (RunChecker.VoidRunException e) {
                 System.out.println("soak, seed " + seed + ", play " + play + ": void, " + e.getMessage());
             }
         }
