--- a/src/rig/java/reedspring/rig/fleet/EngineModel.java
+++ b/src/rig/java/reedspring/rig/fleet/EngineModel.java
@@ -13,6 +13,7 @@
     /** Additional slowdown of all executions per multiple of the memory that is overcommitted. */
     private static final double PAGING_SLOWDOWN = 6;
 
+    /** One running query; the owner is the caller's object for it. */
     static final class Execution {
         final Object owner;
         final double workTicks;
@@ -96,12 +97,12 @@
         return executions;
     }
 
-    /** Advances the model by {@code span} ticks up to {@code now}, and returns the executions that ended. */
+    /** Advances the model by {@code spanTicks} up to {@code now}; returns the executions that ended. */
     List<Execution> step(long now, long spanTicks) {
         int threads = threads();
-        double memory = memoryUtilization();
+        double memoryRatio = memoryUtilization();
         double pace = Math.min(1, capacityCores(now) / Math.max(1, threads))
-                / (memory > 1 ? 1 + PAGING_SLOWDOWN * (memory - 1) : 1);
+                / (memoryRatio > 1 ? 1 + PAGING_SLOWDOWN * (memoryRatio - 1) : 1);
         List<Execution> ended = new ArrayList<>();
         for (Execution execution : executions) {
             execution.doneTicks += pace * execution.threads * spanTicks;
@@ -120,7 +121,6 @@
 
     Load load() {
         return new Load(Math.min(1, threads() / cores), Math.min(1, memoryUtilization()), Double.NaN,
-                executions.size(),
-                Math.max(0, threads() - cores));
+                executions.size(), Math.max(0, threads() - cores));
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/FaultProxy.java
+++ b/src/rig/java/reedspring/rig/fleet/FaultProxy.java
@@ -31,10 +31,9 @@
 import java.util.function.Supplier;
 
 /**
- * A TCP proxy that carries every link of the fleet on one event loop and injects network faults. A link is a
- * {@link ProxiedLink}: a listening address of its own in place of the target's, and a {@link LinkCondition},
- * the condition
- * under which bytes and connections pass.
+ * A TCP proxy that carries every link of the fleet on one event loop and injects network faults. Each
+ * {@link ProxiedLink} has a listening address in place of its target's, and a {@link LinkCondition} that says
+ * how bytes and connections pass.
  */
 final class FaultProxy implements Closeable {
     /** Buffered bytes in one direction of a connection above which its sender is no longer read from. */
@@ -86,8 +85,8 @@
                     .childOption(ChannelOption.AUTO_READ, false).childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<>() {
                         @Override
-                        protected void initChannel(Channel near) {
-                            openConnections.add(new ProxiedConnection(ProxiedLink.this, near));
+                        protected void initChannel(Channel clientChannel) {
+                            openConnections.add(new ProxiedConnection(ProxiedLink.this, clientChannel));
                         }
                     }).bind(new InetSocketAddress(listenAddress, port));
             listener = bound.channel();
@@ -201,8 +200,8 @@
                     .option(ChannelOption.AUTO_READ, false).option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<>() {
                         @Override
-                        protected void initChannel(Channel made) {
-                            made.pipeline().addLast(new DirectionReader(towardsClient, made));
+                        protected void initChannel(Channel newChannel) {
+                            newChannel.pipeline().addLast(new DirectionReader(towardsClient, newChannel));
                         }
                     });
             bootstrap.connect(link.target.get(), new InetSocketAddress(link.sourceAddress, 0)).addListener(
@@ -283,8 +282,7 @@
             long dueAt = now;
             if (condition.delayMs > 0) {
                 dueAt += TimeUnit.MILLISECONDS.toNanos(condition.delayMs / 2
-                        + random.nextLong(condition.delayMs
-                        + 1));
+                        + random.nextLong(condition.delayMs + 1));
             }
             int sizeBytes = bytes == null ? 0 : bytes.readableBytes();
             dueAt = Math.max(dueAt, lastDueAt);
@@ -307,8 +305,7 @@
         private void flush() {
             Channel receiver = connection.receiver(towardsTarget);
             while (!buffered.isEmpty() && !connection.isCut(towardsTarget) && receiver != null
-                    && buffered.peek().dueAt <= System
-                    .nanoTime()) {
+                    && buffered.peek().dueAt <= System.nanoTime()) {
                 Chunk chunk = buffered.poll();
                 if (chunk.bytes == null) {
                     receiver.close();
@@ -370,8 +367,7 @@
      * {@code third} tell links apart.
      */
     ProxiedLink openLink(int first, int second, int third, InetAddress sourceAddress,
-            Supplier<InetSocketAddress> target)
-            throws IOException {
+            Supplier<InetSocketAddress> target) throws IOException {
         ProxiedLink link = new ProxiedLink(loopback(first, second, third), sourceAddress, target);
         ChannelFuture bound = link.startListening().syncUninterruptibly();
         link.port = ((InetSocketAddress) bound.channel().localAddress()).getPort();
@@ -400,7 +396,7 @@
 
     /** Runs the task on the event loop in one iteration, and waits for its end. */
     void runOnLoop(Runnable task) {
-        Runnable safe = () -> {
+        Runnable printingTask = () -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
@@ -409,9 +405,9 @@
             }
         };
         if (loop.next().inEventLoop()) {
-            safe.run();
+            printingTask.run();
         } else {
-            loop.submit(safe).syncUninterruptibly();
+            loop.submit(printingTask).syncUninterruptibly();
         }
     }
 
--- a/src/rig/java/reedspring/rig/fleet/Fleet.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleet.java
@@ -115,8 +115,7 @@
 
         private String listing(SimulatedEngine engine, String health) {
             return JournalStandIn.host(engine.name, engineLinks[engine.index].address(),
-                    String.valueOf(timetable
-                    .site(engine.index)),
+                    String.valueOf(timetable.site(engine.index)),
                     Terms.kind(timetable.cores(engine.index)), health, engine.startedAtMs);
         }
 
@@ -173,8 +172,7 @@
             }
             usesSecondJournalLink = !usesSecondJournalLink;
             String nextConfig = usesSecondJournalLink
-                    ? config.replace("\"" + journalLink.address() + "\"", "\""
-                    + secondJournalLink.address()
+                    ? config.replace("\"" + journalLink.address() + "\"", "\"" + secondJournalLink.address()
                     + "\"") : config;
             ifAlive(() -> program.reload(nextConfig));
         }
@@ -193,8 +191,7 @@
     }
 
     private Fleet(Timetable timetable, long seed, Path home,
-            RunChecker.Tolerances tolerances) throws IOException,
-            InterruptedException {
+            RunChecker.Tolerances tolerances) throws IOException, InterruptedException {
         this.timetable = timetable;
         this.seed = seed;
         this.home = home;
@@ -243,7 +240,7 @@
         for (int first = 0; first < fronts.size(); first += CONCURRENT_STARTS) {
             List<Front> batch = fronts.subList(first, Math.min(fronts.size(), first + CONCURRENT_STARTS));
             for (Front front : batch) {
-                front.journal.tell(true, engineSlots.stream().map(p -> front.listing(p.engine, "ready"))
+                front.journal.tell(true, engineSlots.stream().map(slot -> front.listing(slot.engine, "ready"))
                         .toArray(String[]::new));
                 front.start();
             }
@@ -252,20 +249,17 @@
             }
         }
         clients = new SimulatedClients(timetable, random.nextLong(),
-                fronts.stream().map(f -> f.clientLink.address())
-                .toArray(String[]::new), scheduler);
+                fronts.stream().map(f -> f.clientLink.address()).toArray(String[]::new), scheduler);
         clients.warmUp();
         proxy.monitorStalls();
         startedAt = System.nanoTime();
-        checker.started(startedAt);
+        checker.runStarted(startedAt);
         stepScheduler.scheduleAtFixedRate(recordingFailure(this::stepEngines), STEP_MS, STEP_MS,
                 TimeUnit.MILLISECONDS);
         scheduler.scheduleAtFixedRate(recordingFailure(() -> fronts.forEach(f -> f.journal.comment())), 0,
-                500,
-                TimeUnit.MILLISECONDS);
+                500, TimeUnit.MILLISECONDS);
         scheduler.scheduleAtFixedRate(recordingFailure(() ->
-                frontsWithFaultyClients.forEach(clients::runFaultyClients)), 100, 100,
-                TimeUnit.MILLISECONDS);
+                frontsWithFaultyClients.forEach(clients::runFaultyClients)), 100, 100, TimeUnit.MILLISECONDS);
         for (Entry entry : timetable.entries()) {
             affectedFronts.put(entry, timetable.frontsOf(entry, seed));
             affectedEngines.put(entry, timetable.enginesOf(entry, seed));
@@ -294,24 +288,20 @@
             for (String defectLog : List.of("a decision failed", "an action failed", "a timer failed",
                     "closed, fault", "rule would be broken")) {
                 Rig.require(!front.program.logged(defectLog), defectLog + " in front " + front.index + " ("
-                        + timetable
-                        + ", seed "
-                        + seed + "): " + front.program.log);
+                        + timetable + ", seed " + seed + "): " + front.program.log);
             }
         }
         List<SimulatedEngine> engines = List.copyOf(startedEngines);
-        List<SimulatedEngine.Submission> submissions = engines.stream().flatMap(h -> h.submissions().stream())
-                .toList();
+        List<SimulatedEngine.Submission> submissions = engines.stream()
+                .flatMap(engine -> engine.submissions().stream()).toList();
         checker.recordRigStall(Math.max(maxStepDelayMs, proxy.longestStallMs()));
         RunSummary summary = checker.check(clients.requests(), submissions, engines);
         double[] threadsByEngine = IntStream.range(0, timetable.engines())
-                .mapToDouble(k -> engines.stream().filter(h ->
-                h.index == k)
-                .mapToDouble(SimulatedEngine::threadTicksPerCore).sum()).toArray();
+                .mapToDouble(k -> engines.stream().filter(engine -> engine.index == k)
+                        .mapToDouble(SimulatedEngine::threadLoad).sum()).toArray();
         double mean = Arrays.stream(threadsByEngine).average().orElse(1);
         return summary.withEngineLoad(Arrays.stream(threadsByEngine).max().orElse(0) / mean,
-                Arrays.stream(threadsByEngine).min()
-                .orElse(0) / mean,
+                Arrays.stream(threadsByEngine).min().orElse(0) / mean,
                 maxEngineConnections, peakJournalCalls());
     }
 
@@ -352,8 +342,7 @@
         lastStepAt = now;
         engineSlots.forEach(slot -> slot.engine.step(STEP_MS * 10));
         maxEngineConnections = Math.max(maxEngineConnections, IntStream.range(0, timetable.engines())
-                .map(k -> fronts
-                .stream()
+                .map(k -> fronts.stream()
                 .mapToInt(f -> f.engineLinks[k].connectionCount()).sum()).max().orElse(0));
     }
 
@@ -381,8 +370,7 @@
                     && elapsedTicks < e.until() - 5 && affectedFronts.get(e).contains(front)
                     && (kind != Link.ENGINE || affectedEngines.get(e).contains(engine))) {
                 condition = new FaultProxy.LinkCondition(condition.cutTowardsTarget() || e.what() == What.CUT
-                        || e
-                        .what() == What.CUT_THERE,
+                        || e.what() == What.CUT_THERE,
                         condition.cutTowardsClient() || e.what() == What.CUT || e.what() == What.CUT_BACK,
                         condition.delayMs() + (e.what() == What.DELAY ? e.byTicks() / 10 : 0),
                         e.what() == What.THROTTLE ? e.bytesPerSecond() : condition.bytesPerSecond());
@@ -417,7 +405,7 @@
     }
 
     private void beginEntry(Entry entry) throws Exception {
-        checker.begins(entry, affectedFronts.get(entry), affectedEngines.get(entry));
+        checker.entryBegan(entry, affectedFronts.get(entry), affectedEngines.get(entry));
         if (entry.what().affectsLinks()) {
             applyLinkFault(entry, true);
             return;
@@ -451,8 +439,7 @@
                 case RELOAD -> {
                     for (int k = 0; k < entry.times(); k++) {
                         scheduler.schedule(recordingFailure(front::reload),
-                                (long) (entry.span() / 10 * k / entry.times()),
-                                TimeUnit.MILLISECONDS);
+                                (long) (entry.span() / 10 * k / entry.times()), TimeUnit.MILLISECONDS);
                     }
                 }
                 default -> setFrontOrClientFault(entry, front, true);
@@ -531,7 +518,7 @@
                     if (entry.what() == What.LEAVE) {
                         checker.startedAfterShutdown(frontIndex);
                     } else {
-                        checker.started(frontIndex);
+                        checker.frontRestarted(frontIndex);
                     }
                 }
                 case STOP -> {
@@ -601,8 +588,7 @@
             for (Entry e : timetable.entries()) {
                 lagMs += e.what() == What.LATE_LIST && elapsedTicks >= e.at() && elapsedTicks < e.until()
                         && affectedFronts.get(e).contains(front.index)
-                        ? e.byTicks() * ((front.index * 7 + engine.index * 3) % 8)
-                                / 80 : 0;
+                        ? e.byTicks() * ((front.index * 7 + engine.index * 3) % 8) / 80 : 0;
             }
             scheduler.schedule(recordingFailure(() -> {
                 front.journal.tell(false, front.listing(engine, health));
--- a/src/rig/java/reedspring/rig/fleet/Fleets.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleets.java
@@ -91,7 +91,6 @@
         return String.format(Locale.ROOT,
                 "served=%.3f busiest=%.2f idlest=%.2f most_threads=%.1f backs=%d %s",
                 fleet.served(), fleet.busiestRatio(), fleet.idlestRatio(), fleet.mostThreads(),
-                fleet.peakRetries(),
-                fleet.counts());
+                fleet.peakRetries(), fleet.counts());
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/RunChecker.java
+++ b/src/rig/java/reedspring/rig/fleet/RunChecker.java
@@ -16,8 +16,8 @@
 
 /**
  * Checks a run from outside: by what clients sent and received, what engines received and when, and what
- * each front had been told. Missing or late answers are excused only while the front was down or the client's
- * link failed. Times are nanoseconds of the monotonic clock.
+ * each front had been told. The kill of a front and a fault on the client's link excuse the requests that
+ * they hit, and nothing else. Times are nanoseconds of the monotonic clock.
  */
 public final class RunChecker {
     private static final long NS_PER_MS = 1_000_000;
@@ -80,7 +80,9 @@
         }
     }
 
-    /** A span in which an engine is not ready; its end is {@code Long.MAX_VALUE} while it lasts. */
+    /**
+     * A span in which an engine is announced as not ready; its end is {@code Long.MAX_VALUE} while it lasts.
+     */
     private record DrainSpan(long announcedAt, long endsAt) {
     }
 
@@ -96,43 +98,45 @@
     }
 
     /** Records whether a front that received SIGTERM had exited before SIGKILL. */
-    synchronized void recordShutdown(int front, boolean ended) {
-        if (!ended && paused.stream().noneMatch(s -> s.front == front)) {
+    synchronized void recordShutdown(int front, boolean exited) {
+        if (!exited && paused.stream().noneMatch(s -> s.front == front)) {
             lateShutdown = "front " + front + " had not exited before SIGKILL";
         }
     }
 
-    synchronized void started(long at) {
-        startedAt = at;
+    /** Records the start of the run. */
+    synchronized void runStarted(long startTime) {
+        startedAt = startTime;
     }
 
-    synchronized void begins(Entry entry, Set<Integer> fronts, Set<Integer> engines) {
+    /** Records the span in which an entry affects the fronts' links, or excuses their shutdown. */
+    synchronized void entryBegan(Entry entry, Set<Integer> fronts, Set<Integer> engines) {
         long now = System.nanoTime();
-        long to = now + entry.span() * 100_000 + 50 * NS_PER_MS;
-        for (int f : fronts) {
+        long endsAt = now + entry.span() * 100_000 + 50 * NS_PER_MS;
+        for (int front : fronts) {
             if (entry.what().affectsLinks() && entry.link() == Link.CLIENT) {
-                excusedSpans.add(new Span(f, now - 50 * NS_PER_MS, to));
-                clientLinkFaults.add(new Span(f, now - 50 * NS_PER_MS, to + entry.byTicks() * 200_000));
+                excusedSpans.add(new Span(front, now - 50 * NS_PER_MS, endsAt));
+                clientLinkFaults.add(new Span(front, now - 50 * NS_PER_MS, endsAt
+                        + entry.byTicks() * 200_000));
             } else if (entry.what().affectsLinks() && entry.link() == Link.JOURNAL) {
-                journalLinkFaults.add(new Span(f, now - 50 * NS_PER_MS, to + 1_000 * NS_PER_MS));
+                journalLinkFaults.add(new Span(front, now - 50 * NS_PER_MS, endsAt + 1_000 * NS_PER_MS));
             } else if (entry.what().affectsLinks()) {
                 // What a front wrote to a slow or cut link reaches the engine later.
-                engineLinkFaults.add(new Span(f, now - 50 * NS_PER_MS, to
-                        + (entry.what() == What.DELAY ? entry.byTicks() * 200_000
-                        : 0)
-                        + 100 * NS_PER_MS));
+                engineLinkFaults.add(new Span(front, now - 50 * NS_PER_MS, endsAt
+                        + (entry.what() == What.DELAY ? entry.byTicks() * 200_000 : 0) + 100 * NS_PER_MS));
             } else if (entry.what() == What.LEAVE && tolerances.shutdownExcused()) {
-                excusedSpans.add(new Span(f, now, to));
+                excusedSpans.add(new Span(front, now, endsAt));
             }
         }
     }
 
+    /** Records the kill of a front. */
     synchronized void killed(int front) {
         downSince.putIfAbsent(front, System.nanoTime());
     }
 
     /** Records a restart: requests are excused from the kill until the front serves again. */
-    synchronized void started(int front) {
+    synchronized void frontRestarted(int front) {
         restartedAt.put(front, System.nanoTime());
         excusedSpans.add(new Span(front, downSince.remove(front) - 50 * NS_PER_MS, System.nanoTime()
                 + STARTUP_NS));
@@ -157,6 +161,7 @@
         paused.add(new Span(front, pausedSince.remove(front), System.nanoTime()));
     }
 
+    /** Records that the engine's health was announced in the front's journal. */
     synchronized void announced(int front, String engine, String health) {
         String frontAndEngine = front + "/" + engine;
         long now = System.nanoTime();
@@ -175,8 +180,7 @@
 
     /** Checks all rules over a whole run; throws on the first broken rule, naming the run and the time. */
     synchronized RunSummary check(List<SimulatedClients.Request> requests,
-            List<SimulatedEngine.Submission> submissions,
-            List<SimulatedEngine> engines) {
+            List<SimulatedEngine.Submission> submissions, List<SimulatedEngine> engines) {
         if (rigStallMs > MAX_RIG_STALL_MS) {
             throw new VoidRunException("the test rig stalled for " + rigStallMs + " ms");
         }
@@ -185,7 +189,8 @@
         Map<String, List<SimulatedEngine.Submission>> byTrace = submissions.stream()
                 .collect(Collectors.groupingBy(a -> a.trace));
         for (SimulatedClients.Request request : requests) {
-            byTrace.getOrDefault(request.trace, List.of()).forEach(attempt -> begins(request, attempt));
+            byTrace.getOrDefault(request.trace, List.of())
+                    .forEach(submission -> checkClient(request, submission));
         }
         int excused = checkAnswers(requests, byTrace);
         requests.stream().filter(request -> request.query.group() == Terms.MUTATING_GROUP)
@@ -193,15 +198,14 @@
                 byTrace.getOrDefault(request.trace, List.of())));
         byTrace.forEach(this::checkSubmissions);
         submissions.forEach(this::checkDrain);
-        double maxColdLoad = engines.stream().mapToDouble(host -> checkColdEngine(host, submissions)).max()
-                .orElse(0);
+        double maxColdLoad = engines.stream().mapToDouble(engine -> checkColdEngine(engine, submissions))
+                .max().orElse(0);
         return summarize(requests, submissions, excused, maxColdLoad);
     }
 
     /** An engine receives exactly what a client sent: trace, resource group and statement. */
     private void checkSentByClients(List<SimulatedClients.Request> requests,
-            List<SimulatedEngine.Submission> submissions,
-            List<SimulatedEngine> engines) {
+            List<SimulatedEngine.Submission> submissions, List<SimulatedEngine> engines) {
         Map<String, SimulatedClients.Request> requestsByTrace = requests.stream()
                 .collect(Collectors.toMap(request -> request.trace, request -> request));
         for (SimulatedEngine.Submission submission : submissions) {
@@ -238,10 +242,10 @@
                     latest = Math.max(latest, pause.endsAt + toleranceNs);
                 }
             }
-            long last = latest;
+            long lastMoment = latest;
             // A lost connection has a known time; an answer that never came may have failed at any time.
             long failedFrom = request.connectionLost ? request.lostAt : request.sentAt;
-            long failedUntil = request.connectionLost ? request.lostAt : last;
+            long failedUntil = request.connectionLost ? request.lostAt : lastMoment;
             boolean isExcused = !request.sent || request.clientLeftAt != 0
                     || absentSpans.stream()
                     .anyMatch(s -> s.overlaps(request.front, request.sentAt, request.sentAt))
@@ -249,29 +253,28 @@
                     || downSince.containsKey(request.front);
             excused += request.responses.isEmpty() ? 1 : 0;
             require(isExcused || !request.responses.isEmpty(), request, request.connectionLost
-                    ? "connection lost without an answer"
-                    : "no answer");
+                    ? "connection lost without an answer" : "no answer");
             require(isExcused || request.respondedAt <= latest, request, "answered "
-                    + (request.respondedAt - dueAt) / NS_PER_MS
-                    + " ms past its deadline");
+                    + (request.respondedAt - dueAt) / NS_PER_MS + " ms past its deadline");
         }
         return excused;
     }
 
     /** A submission needs a client that is still there, and a timeout within the client's remaining time. */
-    private void begins(SimulatedClients.Request one, SimulatedEngine.Submission attempt) {
+    private void checkClient(SimulatedClients.Request request, SimulatedEngine.Submission submission) {
         boolean slowLink = engineLinkFaults.stream()
-                .anyMatch(s -> s.overlaps(attempt.front, one.sentAt, attempt.receivedAt));
-        boolean unheard = clientLinkFaults.stream()
-                .anyMatch(s -> s.overlaps(one.front, one.clientLeftAt, attempt.receivedAt));
-        long late = (attempt.receivedAt - one.clientLeftAt) / NS_PER_MS;
-        require(one.clientLeftAt == 0 || slowLink || unheard || late <= tolerances.clientLeftMs()
-                + rigStallMs, attempt,
-                "submitted " + late + " ms after its client had left");
-        long left = one.patienceMs - (attempt.receivedAt - one.sentAt) / NS_PER_MS;
-        require(one.patienceMs == 0 || attempt.ttlMs < 0 || slowLink
-                || attempt.ttlMs <= left + tolerances.engineTimeoutMs() + rigStallMs, attempt,
-                "engine timeout of " + attempt.ttlMs + " ms, but its client has " + left + " ms left");
+                .anyMatch(s -> s.overlaps(submission.front, request.sentAt, submission.receivedAt));
+        boolean departureUnseen = clientLinkFaults.stream()
+                .anyMatch(s -> s.overlaps(request.front, request.clientLeftAt, submission.receivedAt));
+        long lateMs = (submission.receivedAt - request.clientLeftAt) / NS_PER_MS;
+        require(request.clientLeftAt == 0 || slowLink || departureUnseen
+                || lateMs <= tolerances.clientLeftMs() + rigStallMs, submission,
+                "submitted " + lateMs + " ms after its client had left");
+        long remainingMs = request.patienceMs - (submission.receivedAt - request.sentAt) / NS_PER_MS;
+        require(request.patienceMs == 0 || submission.ttlMs < 0 || slowLink
+                || submission.ttlMs <= remainingMs + tolerances.engineTimeoutMs() + rigStallMs, submission,
+                "engine timeout of " + submission.ttlMs + " ms, but its client has " + remainingMs
+                + " ms left");
     }
 
     /**
@@ -279,7 +282,7 @@
      */
     private void checkMutatingQuery(SimulatedClients.Request request,
             List<SimulatedEngine.Submission> submissions) {
-        long runs = submissions.stream().filter(attempt -> !attempt.outcome.equals("full")).count();
+        long runs = submissions.stream().filter(submission -> !submission.outcome.equals("full")).count();
         require(runs <= 1, request, "a mutating query ran " + runs + " times");
         require(runs == 0 || !request.responses.contains("Shed"), request,
                 "a mutating query that may have run was deferred");
@@ -314,8 +317,7 @@
             boolean slowLink = engineLinkFaults.stream()
                     .anyMatch(s -> s.overlaps(submission.front, toldAt, submission.receivedAt));
             require(submission.receivedAt <= latest || submission.receivedAt >= span.endsAt || slowLink,
-                    submission, "submitted "
-                    + (submission.receivedAt - toldAt) / NS_PER_MS
+                    submission, "submitted " + (submission.receivedAt - toldAt) / NS_PER_MS
                     + " ms after the drain notice for its engine");
         }
     }
@@ -348,11 +350,9 @@
                     / meanWorkTicks;
             double overloadLimit = toleratedQueries + 2 * Math.sqrt(toleratedQueries) + 2;
             List<SimulatedEngine.Submission> inWindow = toColdEngine.stream()
-                    .filter(a -> a.receivedAt >= windowStart && a.receivedAt < windowStart + window)
-                    .toList();
+                    .filter(a -> a.receivedAt >= windowStart && a.receivedAt < windowStart + window).toList();
             double received = inWindow.stream().mapToDouble(a -> a.workTicks).sum() / meanWorkTicks;
-            // The engine may have an earlier engine's address; a front that knows only that one is not to
-            // blame.
+            // The address may be reused; a front that knows only the previous engine there is not to blame.
             double receivedFromInformed = inWindow.stream()
                     .filter(a -> a.receivedAt >= knownReadySince.getOrDefault(a.front + "/" + engine.name,
                     Long.MAX_VALUE)).mapToDouble(a -> a.workTicks).sum() / meanWorkTicks;
@@ -393,8 +393,7 @@
     }
 
     private RunSummary summarize(List<SimulatedClients.Request> requests,
-            List<SimulatedEngine.Submission> submissions, int excused,
-            double coldLoad) {
+            List<SimulatedEngine.Submission> submissions, int excused, double coldLoad) {
         int queries = 0;
         int inTime = 0;
         int late = 0;
@@ -421,21 +420,20 @@
             }
         }
         return new RunSummary(queries, requests.size(), inTime, late, deferred, failed, excused,
-                served / Math.max(1,
-                offered),
-                submissions.size(), coldLoad, 0, 0, 0, 0);
+                served / Math.max(1, offered), submissions.size(), coldLoad, 0, 0, 0, 0);
     }
 
-    private void require(boolean holds, SimulatedClients.Request one, String what) {
+    private void require(boolean holds, SimulatedClients.Request request, String breach) {
         if (!holds) {
-            fail(what + ": " + Terms.GROUPS[one.query.group()] + " " + one.trace + " to front " + one.front
-                    + ", request " + one.number, one.sentAt);
+            fail(breach + ": " + Terms.GROUPS[request.query.group()] + " " + request.trace + " to front "
+                    + request.front + ", request " + request.number, request.sentAt);
         }
     }
 
-    private void require(boolean holds, SimulatedEngine.Submission one, String what) {
+    private void require(boolean holds, SimulatedEngine.Submission submission, String breach) {
         if (!holds) {
-            fail(what + ": " + one.trace + " from front " + one.front + " at " + one.engine, one.receivedAt);
+            fail(breach + ": " + submission.trace + " from front " + submission.front + " at "
+                    + submission.engine, submission.receivedAt);
         }
     }
 
--- a/src/rig/java/reedspring/rig/fleet/RunSummary.java
+++ b/src/rig/java/reedspring/rig/fleet/RunSummary.java
@@ -15,8 +15,7 @@
 public record RunSummary(int queries, int requests, int inTime, int late, int deferred, int failed,
         int excused,
                     double servedShare, int submissions, double coldLoad, double busiest, double idlest,
-                    int connections,
-                    int journalCalls) {
+                    int connections, int journalCalls) {
     RunSummary withEngineLoad(double newBusiest, double newIdlest, int maxConnections, int peakJournalCalls) {
         return new RunSummary(queries, requests, inTime, late, deferred, failed, excused, servedShare,
                 submissions, coldLoad,
@@ -29,7 +28,6 @@
                 "queries=%d tries=%d in_time=%d late=%d deferred=%d failed=%d excused=%d "
                 + "served=%.3f attempts=%d cold=%.2f busiest=%.2f idlest=%.2f connections=%d calls=%d",
                 queries, requests, inTime, late, deferred, failed, excused, servedShare, submissions,
-                coldLoad, busiest,
-                idlest, connections, journalCalls);
+                coldLoad, busiest, idlest, connections, journalCalls);
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/SimulatedClients.java
+++ b/src/rig/java/reedspring/rig/fleet/SimulatedClients.java
@@ -141,11 +141,11 @@
                 pending.put((long) id, request);
                 write(client, request, id);
                 if (activeBehaviours.contains(What.GIVE_UP) && request.sent && draw() < ABANDON_PROBABILITY) {
-                    Client ownPending = client;
+                    Client usedClient = client;
                     Map<Long, Request> pendingNow = pending;
                     long delayMs = (long) (draw() * MAX_ABANDON_DELAY_MS);
                     boolean closes = draw() < 0.5;
-                    scheduler.schedule(() -> abandon(ownPending, pendingNow, request, id, closes), delayMs,
+                    scheduler.schedule(() -> abandon(usedClient, pendingNow, request, id, closes), delayMs,
                             TimeUnit.MILLISECONDS);
                 }
             } catch (IOException e) {
@@ -169,22 +169,18 @@
             }
             request.sentAt = System.nanoTime();
             target.send(slowly ? Arrays.copyOfRange(query,
-                    (SLOW_WRITE_CHUNKS - 1) * query.length / SLOW_WRITE_CHUNKS,
-                    query.length)
-                    : query);
+                    (SLOW_WRITE_CHUNKS - 1) * query.length / SLOW_WRITE_CHUNKS, query.length) : query);
             request.sent = true;
         }
 
         private synchronized void abandon(Client usedClient, Map<Long, Request> pendingThen, Request request,
-                int id,
-                boolean closes) {
+                int id, boolean closes) {
             try {
                 synchronized (SimulatedClients.this) {
                     long now = System.nanoTime();
                     if (closes) {
                         pendingThen.values().stream().filter(each -> each.responses.isEmpty()
-                                && each.clientLeftAt == 0)
-                                .forEach(each -> each.clientLeftAt = now);
+                                && each.clientLeftAt == 0).forEach(each -> each.clientLeftAt = now);
                     } else if (request.responses.isEmpty()) {
                         request.clientLeftAt = now;
                     }
@@ -279,6 +275,7 @@
         }
     }
 
+    /** Turns a behaviour of faulty clients on or off. */
     void setBehaviour(What behaviour, boolean on) {
         if (on) {
             activeBehaviours.add(behaviour);
@@ -444,8 +441,7 @@
 
     private int remainingPatienceMs(Request request) {
         return (int) Math.max(1, Terms.leavesMs(timetable, request.query.group)
-                - (System.nanoTime() - request.query.firstSentAt)
-                / NS_PER_MS);
+                - (System.nanoTime() - request.query.firstSentAt) / NS_PER_MS);
     }
 
     /** Sends heartbeats to each front over new connections, so that a cold rig doesn't distort the run. */
@@ -476,8 +472,7 @@
     synchronized void sendNewQuery() {
         int group = timetable.mix().group(random);
         ClientQuery query = new ClientQuery(group, timetable.mix().workMs(group, random),
-                timetable.mix().needMb(group, random),
-                System.nanoTime());
+                timetable.mix().needMb(group, random), System.nanoTime());
         double draw = random.nextDouble();
         int front = 0;
         while (front < timetable.fronts() - 1 && (draw -= timetable.queryShare(front)) >= 0) {
@@ -518,7 +513,7 @@
             request.respondedAt = System.nanoTime();
         }
         if (kind.equals("Shed") && request.number < MAX_REQUESTS_PER_QUERY) {
-            long pauseMs = Math.max(5, pause(response));
+            long pauseMs = Math.max(5, deferralPauseMs(response));
             if (remainingPatienceMs(request) > pauseMs + 20) {
                 scheduler.schedule(() -> dispatch(request.query, request.number + 1, request.front), pauseMs,
                         TimeUnit.MILLISECONDS);
@@ -526,7 +521,8 @@
         }
     }
 
-    private static long pause(List<?> response) {
+    /** The pause in milliseconds that a deferral asks for; 0 if it states none. */
+    private static long deferralPauseMs(List<?> response) {
         Object fields = ((List<?>) response.get(2)).size() > 1 ? ((List<?>) response.get(2)).get(1) : null;
         // The client decodes a map as a list of alternating names and values.
         if (fields instanceof List<?> pairs) {
--- a/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
+++ b/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
@@ -59,11 +59,12 @@
             this.receivedAt = command.at();
             this.workTicks = workTicks;
             this.command = command;
-            Matcher ttl = command.words().size() > 2 ? TTL_FIELD.matcher(command.words().get(2)) : null;
-            Matcher lane = command.words().size() > 2 ? GROUP_FIELD.matcher(command.words().get(2)) : null;
-            this.group = lane != null && lane.find() ? lane.group(1) : "";
+            Matcher ttlField = command.words().size() > 2 ? TTL_FIELD.matcher(command.words().get(2)) : null;
+            Matcher groupField = command.words().size() > 2 ? GROUP_FIELD.matcher(command.words().get(2))
+                    : null;
+            this.group = groupField != null && groupField.find() ? groupField.group(1) : "";
             this.statement = command.words().size() > 3 ? command.words().get(3) : "";
-            this.ttlMs = ttl != null && ttl.find() ? Long.parseLong(ttl.group(1)) : -1;
+            this.ttlMs = ttlField != null && ttlField.find() ? Long.parseLong(ttlField.group(1)) : -1;
         }
 
         void finish(String result) {
@@ -97,7 +98,7 @@
     /** Responses that wait until the engine resumes, and duplicates that are due later, in order. */
     private final ArrayDeque<DelayedResponse> delayedResponses = new ArrayDeque<>();
     private final SplittableRandom random;
-    private double threadTicksPerCore;
+    private double threadLoad;
     private long nextProgressAt;
 
     /**
@@ -107,15 +108,14 @@
             long dueAt) {
     }
 
-    /** Starts the engine; {@code bornMs} 0 means that it started long ago and is warm. */
+    /** Starts the engine; {@code startedAtMs} 0 means that it started long ago and is warm. */
     SimulatedEngine(Timetable timetable, int index, String name, long startedAtMs) throws IOException {
         this.name = name;
         this.index = index;
         this.startedAtMs = startedAtMs;
         this.startedAt = System.nanoTime() - (System.currentTimeMillis() - startedAtMs) * 1_000_000;
         this.model = new EngineModel(timetable.cores(index), timetable.memoryMb(), timetable.sessions(),
-                nowTicks(),
-                Terms.COLD_CAPACITY_RATIO,
+                nowTicks(), Terms.COLD_CAPACITY_RATIO,
                 startedAtMs == 0 ? 0 : Terms.COLD_RAMP_MS * 10L);
         this.random = new SplittableRandom(name.hashCode());
         this.server = new EngineStandIn(0, this::onCommand, this::onConnectionClosed);
@@ -141,24 +141,24 @@
         if (!COMMANDS.contains(command.word())) {
             unexpectedCommands.add(command.words().toString());
         }
-        Matcher costs = command.word().equals("fetch") ? STATEMENT_COSTS.matcher(command.words().get(3))
-                : null;
-        if (costs == null) {
+        Matcher statementCosts = command.word().equals("fetch")
+                ? STATEMENT_COSTS.matcher(command.words().get(3)) : null;
+        if (statementCosts == null) {
             return;
         }
-        if (!costs.find()) {
+        if (!statementCosts.find()) {
             unexpectedCommands.add(command.words().toString());
             return;
         }
-        double workTicks = 10 * Double.parseDouble(costs.group(1));
+        double workTicks = 10 * Double.parseDouble(statementCosts.group(1));
         // The fault proxy connects from a source address of its own for each front.
         int front = command.from().getInetAddress().getAddress()[3] - 1 & 0xff;
         Submission submission = new Submission(command, front, name, workTicks);
         submissions.add(submission);
         if (failing) {
             respond(submission, "failed", "-", "");
-        } else if (model.start(submission, workTicks, Double.parseDouble(costs.group(2)),
-                Integer.parseInt(costs.group(3)), nowTicks()) == null) {
+        } else if (model.start(submission, workTicks, Double.parseDouble(statementCosts.group(2)),
+                Integer.parseInt(statementCosts.group(3)), nowTicks()) == null) {
             respond(submission, "full", loadReport(), "");
         }
     }
@@ -224,10 +224,10 @@
                 .finish("given up"));
     }
 
-    /** Advances the engine by {@code span} ticks (a tick is a tenth of a millisecond). */
+    /** Advances the engine by {@code spanTicks} ticks (a tick is a tenth of a millisecond). */
     synchronized void step(long spanTicks) {
         long now = nowTicks();
-        threadTicksPerCore += (double) model.threads() * spanTicks;
+        threadLoad += (double) model.threads() * spanTicks;
         sendDelayedResponses();
         if (closingIdle) {
             closeIdleConnections();
@@ -237,11 +237,9 @@
             if (submission.endedAt == 0) {
                 String report = loadReport();
                 respond(submission, "data", String.format(Locale.ROOT, "sheets=1,toil=%.1f,room=%.0f%s",
-                        execution.workTicks
-                        / 10,
+                        execution.workTicks / 10,
                         execution.needMb, report.equals("-") ? "" : "," + report), submission.trace + "\t"
-                        + name
-                                + "\trow\n");
+                        + name + "\trow\n");
             }
         }
         if (now >= nextProgressAt) {
@@ -251,8 +249,7 @@
                 long quarter = (now - execution.startedAt) / (Terms.PROGRESS_INTERVAL_MS * 10L / 4);
                 if (submission.endedAt == 0 && !silent && !hanging && quarter % 4 == 0 && quarter > 0) {
                     submission.command.answer("news", String.format(Locale.ROOT, "why=done,val=%.3f",
-                            execution
-                            .doneShare()), "");
+                            execution.doneShare()), "");
                 }
             }
         }
@@ -327,8 +324,8 @@
     }
 
     /** Running threads per core, integrated over ticks. */
-    synchronized double threadTicksPerCore() {
-        return threadTicksPerCore / model.cores();
+    synchronized double threadLoad() {
+        return threadLoad / model.cores();
     }
 
     synchronized double capacity() {
--- a/src/rig/java/reedspring/rig/fleet/Soak.java
+++ b/src/rig/java/reedspring/rig/fleet/Soak.java
@@ -42,7 +42,9 @@
         return drawTimetable(seed, 0);
     }
 
-    /** Draws the timetable of the seed with {@code size} fronts; 0 for the number that the seed draws. */
+    /**
+     * Draws the timetable of the seed with {@code frontCount} fronts; 0 for the number that the seed draws.
+     */
     static Timetable drawTimetable(long seed, int frontCount) {
         SplittableRandom random = new SplittableRandom(seed);
         int drawnFronts = 6 + random.nextInt(9);
@@ -71,8 +73,7 @@
         What.CLOCK_FORWARD, What.CLOCK_BACK, What.RELOAD, What.GIVE_UP, What.SLOW_CLIENTS, What.BAD_CLIENTS,
         What.PIPELINE, What.BURST, What.STOP, What.LEAVE, What.LEAVE, What.DRAIN, What.REPLACE,
         What.START_FAILS, What.START_FAILS, What.SIGNALS, What.SIGNALS, What.NO_THREADS,
-        What.IDLE_CROWD, What.COPIED_TRACES,
-        What.COPIED_TRACES};
+        What.IDLE_CROWD, What.COPIED_TRACES, What.COPIED_TRACES};
 
     private static Entry drawEntry(int number, What type, SplittableRandom random, long shutdownTicks) {
         // Most faults overlap in the middle of the run.
@@ -104,8 +105,7 @@
             fronts = (15 + random.nextInt(30)) + "%";
         }
         return new Entry("trouble " + number + " " + type, at, span, type, link, fronts, engines, byTicks,
-                times,
-                1 << 20);
+                times, 1 << 20);
     }
 
     /**
--- a/src/rig/java/reedspring/rig/fleet/Terms.java
+++ b/src/rig/java/reedspring/rig/fleet/Terms.java
@@ -92,6 +92,7 @@
                 + TARGET_RUNTIME_STRETCH[group] * workMs / THREADS_PER_QUERY[group]));
     }
 
+    /** The name of the kind of engines with that many cores. */
     public static String kind(double cores) {
         return "c" + (int) cores;
     }
@@ -119,8 +120,7 @@
                 .append(key).append("\":\"").append(value).append('"'));
         return "{\"name\":\"n" + front + "\",\"listen\":\"" + listen + "\",\"seed\":\""
                 + Long.toHexString(0x5eed_0000L + front) + "\",\"limits\":{\"cores\":1.0,"
-                + "\"memory_mb\":" + memoryMb
-                + ","
+                + "\"memory_mb\":" + memoryMb + ","
                 + "\"sockets\":1024},\"journal\":\"" + journal + "\",\"known\":{\"pos\":" + position
                         + ",\"entries\":["
                 + known + "]},\"settings\":{" + settingsJson + "}}";
--- a/src/rig/java/reedspring/rig/fleet/Timetable.java
+++ b/src/rig/java/reedspring/rig/fleet/Timetable.java
@@ -61,7 +61,9 @@
         HALF_OPEN,
         /** Open connections are reset once. */
         RESET,
+        /** Bytes are delayed by {@code byTicks}, with a random variation of up to a half. */
         DELAY,
+        /** Bytes pass at the limited rate {@code bytesPerSecond}. */
         THROTTLE,
         /** Fronts receive SIGKILL and are restarted at the end of the span. */
         KILL,
@@ -101,9 +103,9 @@
          * Every third read and write of the fronts is interrupted; all transfer a few hundred bytes at most.
          */
         INTERRUPTS,
-        /** The fronts' wall clock is ahead by {@code by} during the span. */
+        /** The fronts' wall clock is ahead by {@code byTicks} during the span. */
         CLOCK_FORWARD,
-        /** The fronts' wall clock is behind by {@code by} during the span. */
+        /** The fronts' wall clock is behind by {@code byTicks} during the span. */
         CLOCK_BACK,
         /** The fronts can create no more threads. */
         NO_THREADS,
@@ -167,7 +169,7 @@
      *
      * @param fronts selects the affected fronts
      * @param engines selects the affected engines
-     * @param by a delay, a lag or a clock offset, in ticks
+     * @param byTicks a delay, a lag or a clock offset, in ticks
      * @param times a factor or a count, by the type
      */
     public record Entry(String title, long at, long span, What what, Link link, String fronts, String engines,
@@ -209,8 +211,7 @@
                 ini.count(fleetSection, "busy_times", 1, 1, 100),
                 (int) ini.count(fleetSection, "sessions", 200, 1, 100_000),
                 (int) ini.count(fleetSection, "patience", 3, 1, 60),
-                ini.count(fleetSection, "cold_multiple", 3, 1, 100),
-                        List.copyOf(entries));
+                ini.count(fleetSection, "cold_multiple", 3, 1, 100), List.copyOf(entries));
         for (Entry entry : entries) {
             if (!isSelector(entry.fronts)) {
                 ini.fault(entry.title, "fronts", "'" + entry.fronts + "' selects nothing");
@@ -230,15 +231,13 @@
         double longMb = ini.size(section, "long_need", 250 << 20, 0, 1L << 50) / (double) (1 << 20);
         return new Mix((int) ini.count(section, "long_one_in", 8, 1, MAX_ONE_IN),
                 (int) ini.count(section, "change_one_in", 20, 0, MAX_ONE_IN),
-                new double[] {shortMs, longMs, shortMs},
-                new double[] {shortMb, longMb, shortMb});
+                new double[] {shortMs, longMs, shortMs}, new double[] {shortMb, longMb, shortMb});
     }
 
     private static Entry readEntry(Ini ini, String section) {
         ini.has(section);
         List<String> typeKeys = IntStream.range(0, What.values().length)
-                .mapToObj(k -> keyOf(What.values()[k]))
-                .toList();
+                .mapToObj(k -> keyOf(What.values()[k])).toList();
         String typeKey = ini.word(section, "what", null, typeKeys);
         if (typeKey == null) {
             ini.fault(section, "what", "missing");
@@ -282,8 +281,7 @@
     /** A copy of this timetable with another name and other entries. */
     Timetable withEntries(String otherName, List<Entry> otherEntries) {
         return new Timetable(otherName, fronts, engines, sites, cores, memoryMb, length, settle,
-                queriesPerSecond,
-                mix,
+                queriesPerSecond, mix,
                 busyFronts, busyFactor, sessions, patienceFactor, coldOverloadMultiple,
                 List.copyOf(otherEntries));
     }
@@ -330,8 +328,7 @@
     private Set<Integer> select(String selector, char letter, int count, long seed) {
         if (selector.equals("all") || selector.equals("none")) {
             return IntStream.range(0, selector.equals("all") ? count : 0).boxed()
-                    .collect(HashSet::new, Set::add,
-                    Set::addAll);
+                    .collect(HashSet::new, Set::add, Set::addAll);
         }
         Set<Integer> selected = new HashSet<>();
         if (selector.startsWith("site ")) {
--- a/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
+++ b/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
@@ -112,8 +112,7 @@
             id = "e" + index + "." + startCount++;
             startedAt = startTicks;
             model = new EngineModel(timetable.cores(index), timetable.memoryMb(), timetable.sessions(),
-                    startTicks,
-                    Terms.COLD_CAPACITY_RATIO,
+                    startTicks, Terms.COLD_CAPACITY_RATIO,
                     startTicks == 0 ? 0 : Terms.COLD_RAMP_MS * TICKS_PER_MS);
             health = Health.UP;
             coldWork.clear();
@@ -155,8 +154,7 @@
             for (EngineModel.Execution execution : List.copyOf(model.executions())) {
                 if (now - execution.startedAt >= STEP_TICKS
                         && (now - execution.startedAt) % progressInterval < STEP_TICKS
-                        && activeEntry(What.SILENT,
-                        index) == null) {
+                        && activeEntry(What.SILENT, index) == null) {
                     ((Submission) execution.owner).front.returnProgress((Submission) execution.owner,
                             execution.doneShare());
                 }
@@ -275,8 +273,7 @@
                         (retryAt - START_TICKS) / RETRY_BIN_TICKS)]++;
                 schedule(retryAt, () ->
                         dispatch(new ClientRequest(request.group, request.workTicks, request.needMb,
-                        request.firstSentAt, request.number
-                        + 1), this));
+                        request.firstSentAt, request.number + 1), this));
             }
         }
 
@@ -291,8 +288,7 @@
                     .orElse(null);
             long offSince = unavailableSince.getOrDefault(submit.engine(), Long.MAX_VALUE);
             require(offSince > now - Terms.DRAIN_MS * TICKS_PER_MS, "a submission to "
-                    + submit.engine().address()
-                    + ", which is listed as unavailable");
+                    + submit.engine().address() + ", which is listed as unavailable");
             Submission submission = new Submission(this, submit.query(), number, engine, now);
             runningSubmissions.put(submit.query(), submission);
             Entry cut = engine == null ? null : activeCut(index, engine.index);
@@ -332,8 +328,7 @@
             }
             // A submission of a front that has crashed meanwhile is not checked.
             require(request.group != Terms.MUTATING_GROUP || submission.frontIncarnation != incarnation
-                    || executedMutations.add(submission.query),
-                    "a mutating query ran twice");
+                    || executedMutations.add(submission.query), "a mutating query ran twice");
             if (fails) {
                 returnOutcome(submission, Outcome.ERROR, 0);
             }
@@ -514,9 +509,7 @@
         offered[secondOf(now)] += Terms.VALUE_PER_GROUP[group];
         count("asked");
         dispatch(new ClientRequest(group, TICKS_PER_MS * timetable.mix().workMs(group, random),
-                timetable.mix().needMb(group, random),
-                now, 1),
-                fronts.get(front));
+                timetable.mix().needMb(group, random), now, 1), fronts.get(front));
     }
 
     private void dispatch(ClientRequest request, Front preferredFront) {
@@ -567,9 +560,7 @@
             Entry entry = activeLinkFault(type, front, engine);
             if (entry != null) {
                 return new Entry(entry.title(), START_TICKS + entry.at(), entry.span(), type, entry.link(),
-                        "all",
-                        "all", 0,
-                        1, 0);
+                        "all", "all", 0, 1, 0);
             }
         }
         return null;
@@ -597,8 +588,7 @@
                 int k = 0;
                 for (int e : engineIndexes) {
                     schedule(now + entry.span() * k++ / Math.max(1, engineIndexes.size()),
-                            () -> replaceEngine(engines
-                            .get(e)));
+                            () -> replaceEngine(engines.get(e)));
                 }
             }
             default -> {
--- a/src/test/java/reedspring/rig/fleet/RunCheckerTest.java
+++ b/src/test/java/reedspring/rig/fleet/RunCheckerTest.java
@@ -22,7 +22,7 @@
     RunCheckerTest() throws Exception {
         timetable = Timetable.read(Path.of("bench/timetables/calm.ini"));
         checker = new RunChecker(timetable, 1, RunChecker.Tolerances.LOADED_MACHINE);
-        checker.started(System.nanoTime());
+        checker.runStarted(System.nanoTime());
     }
 
     private SimulatedClients.Request addRequest(int group, String... responses) {
@@ -40,8 +40,7 @@
     private SimulatedEngine.Submission addSubmission(SimulatedClients.Request request, String engine,
             long afterMs, String outcome) {
         SimulatedEngine.Submission submission =
-                new SimulatedEngine.Submission(new EngineStandIn.Command(List.of("fetch",
-                request.trace,
+                new SimulatedEngine.Submission(new EngineStandIn.Command(List.of("fetch", request.trace,
                 "lane=" + Terms.GROUPS[request.query.group()], STATEMENT), null,
                 System.nanoTime() + afterMs * NS_PER_MS), 0, engine, 1_000);
         if (outcome != null) {
@@ -139,7 +138,7 @@
 
     private SimulatedClients.Request addRequestUnderDocumentedLimits(int patienceMs, String... responses) {
         checker = new RunChecker(timetable, 1, RunChecker.Tolerances.DOCUMENTED);
-        checker.started(System.nanoTime());
+        checker.runStarted(System.nanoTime());
         requests.clear();
         submissions.clear();
         SimulatedClients.Request request = addRequest(0, responses);
@@ -170,8 +169,7 @@
     private SimulatedEngine.Submission addSubmissionWithTimeout(SimulatedClients.Request request, int ttlMs,
             long afterMs) {
         SimulatedEngine.Submission submission =
-                new SimulatedEngine.Submission(new EngineStandIn.Command(List.of("fetch",
-                request.trace,
+                new SimulatedEngine.Submission(new EngineStandIn.Command(List.of("fetch", request.trace,
                 "lane=lookup,ttl=" + ttlMs, STATEMENT), null, request.sentAt + afterMs * NS_PER_MS), 0, "e0",
                 1_000);
         submission.finish("data");
@@ -272,8 +270,7 @@
         for (int k = 0; k < count; k++) {
             submissions.add(new SimulatedEngine.Submission(new EngineStandIn.Command(List.of("fetch",
                     addRequest(0, "served").trace, "lane=lookup", STATEMENT), null, engine.startedAt
-                    + afterStartMs * NS_PER_MS),
-                    front, engine.name, 5_000));
+                    + afterStartMs * NS_PER_MS), front, engine.name, 5_000));
         }
     }
 
@@ -285,8 +282,7 @@
 
     private void assertOverload(SimulatedEngine engine, String... expectedTexts) {
         AssertionError error = assertThrows(AssertionError.class, () ->
-                checker.check(requests, submissions, List.of(
-                engine)));
+                checker.check(requests, submissions, List.of(engine)));
         assertTrue(error.getMessage().contains("cold engine overloaded"), error.getMessage());
         for (String word : expectedTexts) {
             assertTrue(error.getMessage().contains(word), error.getMessage());
