--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -65,16 +65,13 @@
     private static Timetable timetable(String name, Entry... entries) {
         Mix mix = new Mix(8, 4, new double[] {80, 500, 60}, new double[] {60, 200, 60});
         return new Timetable("mutant " + name, 4, 5, 1, new double[] {8}, 4_096, 8 * TICKS_PER_SECOND,
-                6 * TICKS_PER_SECOND, 70,
-                mix,
-                0, 1, 200, 3, 1, List.of(entries));
+                6 * TICKS_PER_SECOND, 70, mix, 0, 1, 200, 3, 1, List.of(entries));
     }
 
     private static Entry entry(What type, double atSeconds, double seconds, double times) {
         return new Entry(type.name(), (long) (atSeconds * TICKS_PER_SECOND),
-                (long) (seconds * TICKS_PER_SECOND), type,
-                Link.ENGINE,
-                "all", "60%", 3_600 * TICKS_PER_SECOND, times, 1 << 20);
+                (long) (seconds * TICKS_PER_SECOND), type, Link.ENGINE, "all", "60%",
+                3_600 * TICKS_PER_SECOND, times, 1 << 20);
     }
 
     static List<Mutant> all() {
@@ -183,9 +180,8 @@
 
     private static Timetable coldEngineTimetable(String name) {
         Mix mix = new Mix(8, 6, new double[] {80, 300, 60}, new double[] {60, 200, 60});
-        Timetable withoutEntries = new Timetable("mutant " + name, 4, 3, 1, new double[] {4}, 65_536, 9
-                * TICKS_PER_SECOND,
-                6 * TICKS_PER_SECOND, 130, mix, 0, 1, 2_000, 3, 1, List.of());
+        Timetable withoutEntries = new Timetable("mutant " + name, 4, 3, 1, new double[] {4}, 65_536,
+                9 * TICKS_PER_SECOND, 6 * TICKS_PER_SECOND, 130, mix, 0, 1, 2_000, 3, 1, List.of());
         return withoutEntries.withEntries("mutant " + name, List.of(entry(What.CLOCK_FORWARD, 1, 8, 1),
                 entry(What.REPLACE, 2, 2, 1)));
     }
@@ -271,8 +267,8 @@
                     .anyMatch(message::contains);
             missed += isFound ? 0 : 1;
             System.err.println(mutant.name() + ": "
-                    + (isFound ? "found, " : "MISSED, wanted '" + mutant.expectedBreaches()
-                    + "', ") + (message == null ? "nothing" : message.substring(0, Math.min(300,
+                    + (isFound ? "found, " : "MISSED, wanted '" + mutant.expectedBreaches() + "', ")
+                    + (message == null ? "nothing" : message.substring(0, Math.min(300,
                             message.length()))));
         }
         executor.shutdown();
--- a/src/rig/java/reedspring/rig/fleet/RunSummary.java
+++ b/src/rig/java/reedspring/rig/fleet/RunSummary.java
@@ -13,9 +13,8 @@
  * @param journalCalls the most calls to the journals within 100 ms
  */
 public record RunSummary(int queries, int requests, int inTime, int late, int deferred, int failed,
-        int excused,
-                    double servedShare, int submissions, double coldLoad, double busiest, double idlest,
-                    int connections, int journalCalls) {
+                         int excused, double servedShare, int submissions, double coldLoad,
+                         double busiest, double idlest, int connections, int journalCalls) {
     RunSummary withEngineLoad(double newBusiest, double newIdlest, int maxConnections, int peakJournalCalls) {
         return new RunSummary(queries, requests, inTime, late, deferred, failed, excused, servedShare,
                 submissions, coldLoad,
--- a/src/rig/java/reedspring/rig/fleet/Soak.java
+++ b/src/rig/java/reedspring/rig/fleet/Soak.java
@@ -68,8 +68,8 @@
 
     private static final What[] DRAWN_TYPES = {What.REFUSE, What.CUT, What.RESET, What.HALF_OPEN, What.DELAY,
         What.KILL, What.STOP, What.LEAVE, What.FAIL, What.SLOW, What.SILENT, What.HANG, What.FORGET,
-                What.COPIES,
-        What.SPOIL, What.DRAIN, What.REPLACE, What.ACCEPT_FAILS, What.CONNECT_FAILS, What.INTERRUPTS,
+        What.COPIES, What.SPOIL, What.DRAIN, What.REPLACE, What.ACCEPT_FAILS, What.CONNECT_FAILS,
+        What.INTERRUPTS,
         What.CLOCK_FORWARD, What.CLOCK_BACK, What.RELOAD, What.GIVE_UP, What.SLOW_CLIENTS, What.BAD_CLIENTS,
         What.PIPELINE, What.BURST, What.STOP, What.LEAVE, What.LEAVE, What.DRAIN, What.REPLACE,
         What.START_FAILS, What.START_FAILS, What.SIGNALS, What.SIGNALS, What.NO_THREADS,
--- a/src/test/java/reedspring/fleet/FleetIT.java
+++ b/src/test/java/reedspring/fleet/FleetIT.java
@@ -13,11 +13,11 @@
  * values, since performance varies on a machine that runs many processes.
  */
 class FleetIT {
-    private static void play(String name, long seed, double servedAtLeast) throws Exception {
+    private static void play(String name, long seed, double minServedShare) throws Exception {
         RunSummary summary = Fleet.play(Path.of("bench/timetables/" + name), seed);
         System.out.println(name + " " + summary);
         assertTrue(summary.queries() > 500, "queries: " + summary);
-        assertTrue(summary.servedShare() >= servedAtLeast, "served: " + summary);
+        assertTrue(summary.servedShare() >= minServedShare, "served: " + summary);
     }
 
     @Example
@@ -26,27 +26,27 @@
     }
 
     @Example
-    void sevenFrontsInTenAreKilledAtOnceAndComeBackTogether() throws Exception {
+    void seventyPercentOfTheFrontsAreKilledAndRestartedTogether() throws Exception {
         play("kill.ini", 12, 0.3);
     }
 
     @Example
-    void badEnginesOfManyKinds() throws Exception {
+    void enginesFailInManyWays() throws Exception {
         play("bad-engines.ini", 13, 0.4);
     }
 
     @Example
-    void aBurstResetsAndAStopOfAllFronts() throws Exception {
+    void aBurstWithResetsAndAPauseOfAllFronts() throws Exception {
         play("storm.ini", 14, 0.4);
     }
 
     @Example
-    void listsComeSecondsApartWhileHalfOfTheEnginesAreReplaced() throws Exception {
+    void engineListsArriveSecondsApartWhileHalfOfTheEnginesAreReplaced() throws Exception {
         play("lists.ini", 16, 0.3);
     }
 
     @Example
-    void aSiteIsLostAndLinksFailInOtherWays() throws Exception {
+    void aSiteIsLostAndLinksFail() throws Exception {
         play("site-lost.ini", 15, 0.3);
     }
 }
--- a/src/test/java/reedspring/rig/fleet/RunCheckerTest.java
+++ b/src/test/java/reedspring/rig/fleet/RunCheckerTest.java
@@ -226,8 +226,7 @@
                 List.of("lane=report", STATEMENT), List.of("ttl=1", STATEMENT))) {
             SimulatedClients.Request request = addRequestUnderDocumentedLimits(1_000, "served");
             submissions.add(new SimulatedEngine.Submission(new EngineStandIn.Command(List.of("fetch",
-                    request.trace,
-                    words.get(0), words.get(1)), null, System.nanoTime()), 0, "e0", 1_000));
+                    request.trace, words.get(0), words.get(1)), null, System.nanoTime()), 0, "e0", 1_000));
             assertBreach("an engine received what no client had sent");
         }
         addRequestUnderDocumentedLimits(1_000, "Shed");
@@ -238,8 +237,7 @@
 
     /**
      * A front that was told to shut down has to answer what it held before SIGKILL. Only requests sent
-     * between
-     * SIGKILL and the restart are excused.
+     * between SIGKILL and the restart are excused.
      */
     @Example
     void aShutdownDoesNotExcuseRequestsHeldBeforeIt() {
@@ -335,8 +333,7 @@
     /**
      * Guards against a ramp that counts from the engine's first query. In cold.ini on processes, seed 1, the
      * first query came 710 ms after the engine's start, so that the load of the warm engine 6,479 ms after
-     * its
-     * start was taken for an overload.
+     * its start was taken for an overload.
      */
     @Example
     void anEngineIsColdFromItsStartUntilTheEndOfItsRamp() throws Exception {
