--- a/src/test/java/reedspring/fleet/FleetIT.java
+++ b/src/test/java/reedspring/fleet/FleetIT.java
@@ -5,19 +5,19 @@
 import java.nio.file.Path;
 import net.jqwik.api.Example;
 import reedspring.rig.fleet.Fleet;
-import reedspring.rig.fleet.Tally;
+import reedspring.rig.fleet.RunSummary;
 
 /**
- * Eight processes of the program with faults between them. The rules are checked by {@code rig.fleet.Rules}
- * over all that was seen at clients and engines; served is asserted only far below what was measured, since
- * a machine full of processes is no yardstick.
+ * Runs timetables with faults on eight front processes. {@link reedspring.rig.fleet.RunChecker} checks the
+ * rules on everything that clients and engines saw. The limits on the served share are far below the measured
+ * values, since performance varies on a machine that runs many processes.
  */
 class FleetIT {
-    private static void play(String name, long seed, double servedAtLeast) throws Exception {
-        Tally tally = Fleet.play(Path.of("bench/timetables/" + name), seed);
-        System.out.println(name + " " + tally);
-        assertTrue(tally.queries() > 500, "asked: " + tally);
-        assertTrue(tally.served() >= servedAtLeast, "served: " + tally);
+    private static void play(String name, long seed, double minServedShare) throws Exception {
+        RunSummary summary = Fleet.play(Path.of("bench/timetables/" + name), seed);
+        System.out.println(name + " " + summary);
+        assertTrue(summary.queries() > 500, "queries: " + summary);
+        assertTrue(summary.servedShare() >= minServedShare, "served: " + summary);
     }
 
     @Example
@@ -26,27 +26,27 @@
     }
 
     @Example
-    void sevenFrontsInTenAreKilledAtOnceAndComeBackTogether() throws Exception {
+    void seventyPercentOfTheFrontsAreKilledAndRestartedTogether() throws Exception {
         play("kill.ini", 12, 0.3);
     }
 
     @Example
-    void badEnginesOfManyKinds() throws Exception {
+    void enginesFailInManyWays() throws Exception {
         play("bad-engines.ini", 13, 0.4);
     }
 
     @Example
-    void aBurstResetsAndAStopOfAllFronts() throws Exception {
+    void aBurstWithResetsAndAPauseOfAllFronts() throws Exception {
         play("storm.ini", 14, 0.4);
     }
 
     @Example
-    void listsComeSecondsApartWhileHalfOfTheEnginesAreReplaced() throws Exception {
+    void engineListsArriveSecondsApartWhileHalfOfTheEnginesAreReplaced() throws Exception {
         play("lists.ini", 16, 0.3);
     }
 
     @Example
-    void aSiteIsLostAndLinksFailInOtherWays() throws Exception {
+    void aSiteIsLostAndLinksFail() throws Exception {
         play("site-lost.ini", 15, 0.3);
     }
 }
