--- a/src/rig/java/reedspring/rig/ClassArchive.java
+++ b/src/rig/java/reedspring/rig/ClassArchive.java
@@ -23,7 +23,7 @@
                         JournalStandIn.event(1, true, JournalStandIn.host("e0", good.address(), "ready"),
                                 JournalStandIn.host("e1", odd.address(), "ready"),
                                 JournalStandIn.host("e2", Program.freeAddress(), "ready"))),
-                        Path.of("."), List.of("/bin/sh", "-c", Program.run(Path.of("."))
+                        Path.of("."), List.of("/bin/sh", "-c", Program.runCommand(Path.of("."))
                                 .replace("-XX:SharedArchiveFile=", "-XX:ArchiveClassesAtExit=")));
                 Client client = program.ready().client()) {
             Rig.await("the call", () -> !journal.calledFrom.isEmpty());
--- a/src/rig/java/reedspring/rig/Client.java
+++ b/src/rig/java/reedspring/rig/Client.java
@@ -21,9 +21,12 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A client that speaks MessagePack-RPC, written apart from the front's own codec. */
+/**
+ * A blocking MessagePack-RPC client. It has a codec of its own, so that a fault in the front's codec does not
+ * cancel itself out in tests.
+ */
 public final class Client implements Closeable {
-    private static final int CONNECT_MS = 2_000;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
     public final Socket socket;
     private final DataInputStream in;
     private static final AtomicLong TRACES = new AtomicLong(0x1234_5678_9abc_def0L);
@@ -32,38 +35,38 @@
         this(port, Integer.MAX_VALUE);
     }
 
-    /** To an address with its port. */
+    /** Connects to an address of the form {@code host:port}. */
     public Client(String address) throws IOException {
         this(new InetSocketAddress(address.substring(0, address.indexOf(':')),
                 Integer.parseInt(address.substring(address.indexOf(':') + 1))), Integer.MAX_VALUE);
     }
 
-    /** Takes no more than so many bytes a second, and its kernel little more. */
+    /** Connects with a read rate limit and, to make it effective, a small kernel receive buffer. */
     public Client(int port, int bytesPerSecond) throws IOException {
         this(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), bytesPerSecond);
     }
 
-    private Client(InetSocketAddress to, int bytesPerSecond) throws IOException {
+    private Client(InetSocketAddress serverAddress, int bytesPerSecond) throws IOException {
         socket = new Socket();
         if (bytesPerSecond < Integer.MAX_VALUE) {
             socket.setReceiveBufferSize(2048);
         }
-        socket.connect(to, CONNECT_MS);
+        socket.connect(serverAddress, CONNECT_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         socket.setSoTimeout((int) Rig.PATIENCE_S * 1000);
         in = new DataInputStream(bytesPerSecond < Integer.MAX_VALUE
-                ? new Slow(socket.getInputStream(), bytesPerSecond)
+                ? new ThrottledInputStream(socket.getInputStream(), bytesPerSecond)
                 : new BufferedInputStream(socket.getInputStream()));
     }
 
-    /** A line that lets a tenth of its bytes through ten times a second. */
-    private static final class Slow extends FilterInputStream {
-        private final int each;
-        private int left;
+    /** Limits the read rate: every 100 ms lets a tenth of the bytes per second through. */
+    private static final class ThrottledInputStream extends FilterInputStream {
+        private final int bytesPerInterval;
+        private int remainingBytes;
 
-        Slow(InputStream in, int bytesPerSecond) {
+        ThrottledInputStream(InputStream in, int bytesPerSecond) {
             super(in);
-            each = Math.max(1, bytesPerSecond / 10);
+            bytesPerInterval = Math.max(1, bytesPerSecond / 10);
         }
 
         @Override
@@ -73,18 +76,18 @@
         }
 
         @Override
-        public int read(byte[] into, int from, int length) throws IOException {
-            if (left == 0) {
+        public int read(byte[] buffer, int offset, int length) throws IOException {
+            if (remainingBytes == 0) {
                 try {
                     Thread.sleep(100);
                 } catch (InterruptedException e) {
                     throw new InterruptedIOException();
                 }
-                left = each;
+                remainingBytes = bytesPerInterval;
             }
-            int got = super.read(into, from, Math.min(length, left));
-            left -= Math.max(0, got);
-            return got;
+            int bytesRead = super.read(buffer, offset, Math.min(length, remainingBytes));
+            remainingBytes -= Math.max(0, bytesRead);
+            return bytesRead;
         }
     }
 
@@ -119,17 +122,18 @@
         return (List<?>) unpack(in);
     }
 
-    /** Answers as they come, by id. */
+    /** Reads {@code count} answers and returns them by id, in order of arrival. */
     public Map<Long, List<?>> read(int count) throws IOException {
         Map<Long, List<?>> answers = new LinkedHashMap<>();
         for (int k = 0; k < count; k++) {
             List<?> answer = read();
-            Rig.require(answers.put((Long) answer.get(1), answer) == null, "answered twice: " + answer);
+            Rig.require(answers.put((Long) answer.get(1), answer) == null,
+                    "two answers to one request: " + answer);
         }
         return answers;
     }
 
-    /** Whether the front has ended the connection and nothing more came before. */
+    /** Whether the front has closed the connection with no unread bytes before the end of the stream. */
     public boolean ended() throws IOException {
         try {
             return in.read() < 0;
@@ -138,7 +142,7 @@
         }
     }
 
-    /** The result of an answer as text, or null if it is an error. */
+    /** The result rows of an answer as text, or null if the answer is an error. */
     public static String rows(List<?> answer) {
         return answer.get(2) != null ? null
                 : new String((byte[]) ((List<?>) answer.get(3)).get(0), StandardCharsets.UTF_8);
@@ -208,8 +212,8 @@
                     yield (long) type;
                 }
                 List<Object> items = new ArrayList<>();
-                Rig.require(type < 0xa0, "a type that the front has no use for: " + type);
-                for (int left = (type & 0xf) * (type < 0x90 ? 2 : 1); left > 0; left--) {
+                Rig.require(type < 0xa0, "unexpected MessagePack type from the front: " + type);
+                for (int remaining = (type & 0xf) * (type < 0x90 ? 2 : 1); remaining > 0; remaining--) {
                     items.add(unpack(in));
                 }
                 yield items;
--- a/src/rig/java/reedspring/rig/EngineStandIn.java
+++ b/src/rig/java/reedspring/rig/EngineStandIn.java
@@ -13,11 +13,13 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A query engine that does with each command what the test says. */
+/** A stand-in for a query engine that passes each command to a handler of the test. */
 public final class EngineStandIn extends Server {
     /**
-     * One command as it came, the moment of its first byte in nanoseconds of the steady clock, and a way to
-     * answer on its connection.
+     * A received command.
+     *
+     * @param from the connection that it was received on, which also takes its answer
+     * @param at when its first byte arrived, in {@link System#nanoTime()}
      */
     public record Command(List<String> words, Socket from, long at) {
         public String word() {
@@ -32,7 +34,7 @@
             answerRaw(text(id(), word, fields, body));
         }
 
-        /** One answer as it goes out. */
+        /** An answer in its wire format. */
         public static String text(String id, String word, String fields, String body) {
             return "*4" + bulk(id) + bulk(word) + bulk(fields) + bulk(body) + "\r\n";
         }
@@ -43,7 +45,7 @@
                     from.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
                 }
             } catch (IOException e) {
-                // the front has closed it; the test sees that elsewhere
+                // the front has closed the connection, which tests observe through Server.left
             }
         }
 
@@ -52,68 +54,70 @@
         }
     }
 
-    /** After which a connection that has not come up is taken for one too many. */
-    private static final int FULL_MS = 150;
+    /** Connect timeout after which the listen backlog counts as full. */
+    private static final int FULL_BACKLOG_TIMEOUT_MS = 150;
 
-    private final List<Socket> line = new ArrayList<>();
-    private final Consumer<Command> work;
-    private final Consumer<Socket> gone;
-    /** Commands that could not be read: the words before the place at fault. */
+    private final List<Socket> backlog = new ArrayList<>();
+    private final Consumer<Command> commandHandler;
+    private final Consumer<Socket> closeListener;
+    /** Commands that could not be parsed: the words before the parse error. */
     public final List<String> malformed = Collections.synchronizedList(new ArrayList<>());
     public final List<Command> seen = Collections.synchronizedList(new ArrayList<>());
 
-    public EngineStandIn(Consumer<Command> work) throws IOException {
-        this(0, work);
+    public EngineStandIn(Consumer<Command> commandHandler) throws IOException {
+        this(0, commandHandler);
     }
 
-    public EngineStandIn(int port, Consumer<Command> work) throws IOException {
-        this(port, work, peer -> { });
+    public EngineStandIn(int port, Consumer<Command> commandHandler) throws IOException {
+        this(port, commandHandler, peer -> { });
     }
 
-    /** {@code gone} is told of each connection that the other side has ended. */
-    public EngineStandIn(int port, Consumer<Command> work, Consumer<Socket> gone) throws IOException {
+    /** Listens on {@code port}; {@code closeListener} gets each connection that the peer has closed. */
+    public EngineStandIn(int port, Consumer<Command> commandHandler, Consumer<Socket> closeListener) throws IOException {
         super(port);
-        this.work = work;
-        this.gone = gone;
+        this.commandHandler = commandHandler;
+        this.closeListener = closeListener;
     }
 
-    private EngineStandIn(ServerSocket socket, Consumer<Command> work) {
+    private EngineStandIn(ServerSocket socket, Consumer<Command> commandHandler) {
         super(socket);
-        this.work = work;
-        this.gone = peer -> { };
+        this.commandHandler = commandHandler;
+        this.closeListener = peer -> { };
     }
 
     /**
-     * One to which no connection comes up before {@link #comesUp}: its line of connections is full and nobody
-     * accepts. What is dialled meanwhile comes up with the kernel's next try, one or three seconds after.
+     * Creates an engine to which no connection is established before {@link #comesUp}: its listen backlog is
+     * full and nothing accepts. Connections begun meanwhile are established when the kernel retransmits the
+     * SYN, one or three seconds later.
      */
-    public static EngineStandIn late(Consumer<Command> work) throws IOException {
-        EngineStandIn late = new EngineStandIn(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()),
-                work);
-        for (boolean full = false; !full; ) {
-            Socket one = new Socket();
+    public static EngineStandIn late(Consumer<Command> commandHandler) throws IOException {
+        EngineStandIn engine = new EngineStandIn(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()),
+                commandHandler);
+        for (boolean backlogFull = false; !backlogFull; ) {
+            Socket connection = new Socket();
             try {
-                one.connect(late.socket.getLocalSocketAddress(), FULL_MS);
-                late.line.add(one);
+                connection.connect(engine.socket.getLocalSocketAddress(), FULL_BACKLOG_TIMEOUT_MS);
+                engine.backlog.add(connection);
             } catch (SocketTimeoutException e) {
-                one.close();
-                full = true;
+                connection.close();
+                backlogFull = true;
             }
         }
-        return late;
+        return engine;
     }
 
+    /** Starts to accept connections and frees the backlog. */
     public void comesUp() throws IOException {
-        accept();
-        for (Socket one : line) {
-            one.close();
+        startAccepting();
+        for (Socket connection : backlog) {
+            connection.close();
         }
     }
 
     @Override
-    void ended(Socket peer) {
-        if (gone != null) {
-            gone.accept(peer);
+    void onClosed(Socket peer) {
+        if (closeListener != null) {
+            closeListener.accept(peer);
         }
     }
 
@@ -127,7 +131,7 @@
         }
     }
 
-    /** Ends each query at once with that many pages, each naming its number and the query. */
+    /** Answers each query at once with {@code count} pages; their rows hold query id and page number. */
     public static Consumer<Command> pages(int count) {
         return command -> {
             if (command.word().equals("fetch")) {
@@ -149,9 +153,9 @@
         while (true) {
             List<String> words = new ArrayList<>();
             try {
-                read(in, words, peer);
+                readCommand(in, words, peer);
             } catch (AssertionError e) {
-                // As an engine does with what it can't read.
+                // An engine closes the connection on a protocol error.
                 malformed.add(words.toString());
                 peer.close();
                 throw e;
@@ -159,22 +163,22 @@
         }
     }
 
-    private void read(DataInputStream in, List<String> words, Socket peer) throws IOException {
-        int count = length(in, '*');
-        long at = System.nanoTime();
-        for (int left = count; left > 0; left--) {
-            byte[] word = new byte[length(in, '$')];
+    private void readCommand(DataInputStream in, List<String> words, Socket peer) throws IOException {
+        int count = readLength(in, '*');
+        long firstByteNanos = System.nanoTime();
+        for (int remaining = count; remaining > 0; remaining--) {
+            byte[] word = new byte[readLength(in, '$')];
             in.readFully(word);
             in.skipBytes(2);
             words.add(new String(word, StandardCharsets.ISO_8859_1));
         }
-        Command command = new Command(words, peer, at);
+        Command command = new Command(words, peer, firstByteNanos);
         seen.add(command);
-        work.accept(command);
+        commandHandler.accept(command);
     }
 
-    private static int length(DataInputStream in, int type) throws IOException {
-        Rig.require(in.readUnsignedByte() == type, "RESP from the front");
+    private static int readLength(DataInputStream in, int type) throws IOException {
+        Rig.require(in.readUnsignedByte() == type, "the front sent malformed RESP");
         int length = 0;
         for (int c = in.readUnsignedByte(); c != '\r'; c = in.readUnsignedByte()) {
             length = length * 10 + c - '0';
--- a/src/rig/java/reedspring/rig/FaultShim.java
+++ b/src/rig/java/reedspring/rig/FaultShim.java
@@ -11,46 +11,46 @@
 import java.util.List;
 
 /**
- * Makes system calls of one started program fail while it runs: the library of {@code src/rig/c}, which is
- * built on first use and loaded into that program alone, and the file through which it is told what to do.
+ * Makes system calls of one started process fail while it runs. The library in {@code src/rig/c} is built on
+ * first use and preloaded into that process alone; a memory-mapped control file sets its faults.
  */
 public final class FaultShim implements Closeable {
-    /** The faults, in the order of the library's fields. A value of 0 switches one off. */
+    /** The faults, in the order of the library's fields. A value of 0 disables a fault. */
     public enum Fault {
         /**
-         * Every n-th accept fails: ENFILE, ENOBUFS, EMFILE, ECONNABORTED, EINTR, ENOMEM and others in
+         * Every n-th accept fails with ENFILE, ENOBUFS, EMFILE, ECONNABORTED, EINTR, ENOMEM and others in
          * turn.
          */
         ACCEPT_EVERY,
-        /** Every n-th socket fails: EMFILE, ENFILE, ENOBUFS, ENOMEM in turn. */
+        /** Every n-th socket call fails with EMFILE, ENFILE, ENOBUFS, ENOMEM in turn. */
         SOCKET_EVERY,
-        /** Every n-th connect fails: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN and others in turn. */
+        /** Every n-th connect fails with EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN and others in turn. */
         CONNECT_EVERY,
         /** Every n-th read from a socket fails with EINTR. */
         READ_EVERY,
         /** Every n-th write to a socket fails with EINTR. */
         WRITE_EVERY,
-        /** The most bytes that a call on a socket takes or gives. */
+        /** Maximum number of bytes that one call reads from or writes to a socket. */
         SHORT_BYTES,
-        /** Milliseconds by which the wall clock is off. */
+        /** Offset added to the wall clock, in milliseconds. */
         CLOCK_STEP_MS,
-        /** The error of each write and sync of a file. */
+        /** The errno of every write and sync of a file. */
         DISK_ERRNO,
-        /** 1: half of the bytes of a failing write are written. */
+        /** 1: a failing write writes half of its bytes first. */
         DISK_SHORT,
-        /** Counted by the library: how many calls it has failed. */
+        /** Output of the library: the number of calls that it has failed. */
         FAILED_CALLS,
-        /** The error of opening a file for reading. */
+        /** The errno of opening a file for reading. */
         OPEN_ERRNO,
-        /** So many opens of the configuration fail: EIO, ENOENT, EMFILE in turn. Counted down. */
+        /** Number of opens of the configuration that fail with EIO, ENOENT, EMFILE in turn; counts down. */
         CONFIG_OPENS,
-        /** So many epoll_create1 fail: EMFILE, ENOMEM in turn. Counted down. */
+        /** Number of epoll_create1 calls that fail with EMFILE, ENOMEM in turn; counts down. */
         EPOLL_CREATES,
-        /** So many eventfd fail with EMFILE. Counted down. */
+        /** Number of eventfd calls that fail with EMFILE; counts down. */
         EVENTFDS,
-        /** The n-th registration with a selector from now on fails with ENOMEM. Counted down. */
+        /** The n-th epoll registration from now on fails with ENOMEM; counts down. */
         EPOLL_ADD_AT,
-        /** Each pthread_create of the process from its n-th on fails with EAGAIN. */
+        /** Every pthread_create from the n-th of the process on fails with EAGAIN. */
         THREADS_FROM
     }
 
@@ -59,14 +59,14 @@
     private static final Path SOURCE = Path.of("src/rig/c/faultshim.c");
     private static final Path LIBRARY = Path.of("target/faultshim.so");
 
-    private final Path file;
+    private final Path controlFile;
     private final MappedByteBuffer fields;
 
     public FaultShim() throws IOException, InterruptedException {
         build();
-        file = Files.createTempFile("faultshim", ".control");
+        controlFile = Files.createTempFile("faultshim", ".control");
         int size = Fault.values().length * Long.BYTES;
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ,
+        try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.READ,
                 StandardOpenOption.WRITE)) {
             fields = channel.map(FileChannel.MapMode.READ_WRITE, 0, size);
         }
@@ -78,11 +78,11 @@
                 Files.getLastModifiedTime(SOURCE)) >= 0) {
             return;
         }
-        Path made = LIBRARY.resolveSibling("faultshim." + ProcessHandle.current().pid() + ".so");
+        Path built = LIBRARY.resolveSibling("faultshim." + ProcessHandle.current().pid() + ".so");
         Process compiler = new ProcessBuilder(List.of("gcc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC",
-                "-o", made.toString(), SOURCE.toString(), "-ldl")).inheritIO().start();
-        Rig.require(compiler.waitFor() == 0, "the fault shim can't be built");
-        Files.move(made, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+                "-o", built.toString(), SOURCE.toString(), "-ldl")).inheritIO().start();
+        Rig.require(compiler.waitFor() == 0, "compiling the fault shim failed");
+        Files.move(built, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
     public synchronized void set(Fault fault, long value) {
@@ -93,7 +93,7 @@
         return fields.getLong(fault.ordinal() * Long.BYTES);
     }
 
-    /** Switches all faults off. */
+    /** Disables all faults; the count of failed calls stays. */
     public void calm() {
         for (Fault fault : Fault.values()) {
             if (fault != Fault.FAILED_CALLS) {
@@ -102,14 +102,14 @@
         }
     }
 
-    /** Makes the program that the builder starts load the library. */
+    /** Makes the process that {@code builder} starts load the library. */
     void loadInto(ProcessBuilder builder) {
         builder.environment().put("LD_PRELOAD", LIBRARY.toAbsolutePath().toString());
-        builder.environment().put("FAULT_SHIM", file.toString());
+        builder.environment().put("FAULT_SHIM", controlFile.toString());
     }
 
     @Override
     public void close() throws IOException {
-        Files.deleteIfExists(file);
+        Files.deleteIfExists(controlFile);
     }
 }
--- a/src/rig/java/reedspring/rig/JournalStandIn.java
+++ b/src/rig/java/reedspring/rig/JournalStandIn.java
@@ -9,16 +9,20 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The journal service: notes from where it was called, and sends what the test says. */
+/**
+ * A stand-in for the journal service. It records the position that each request asks for, and streams the
+ * events that the test publishes.
+ */
 public final class JournalStandIn extends Server {
+    /** The {@code Last-Event-ID} of each request, empty if it had none. */
     public final List<String> calledFrom = new CopyOnWriteArrayList<>();
-    /** When it was called, in nanoseconds of the steady clock. */
+    /** When each request was received, in {@link System#nanoTime()}. */
     public final List<Long> calledAt = new CopyOnWriteArrayList<>();
-    private final List<String> told = new ArrayList<>();
-    /** What is sent by several comes whole. */
-    private final Object wire = new Object();
-    private StringBuilder gathered;
-    /** Between a call and its answer. */
+    private final List<String> events = new ArrayList<>();
+    /** Held during a write, so that texts sent by several threads do not interleave. */
+    private final Object sendLock = new Object();
+    private StringBuilder batch;
+    /** Delay between a request and its response. */
     public volatile long answersAfterMs;
 
     public JournalStandIn() throws IOException {
@@ -33,18 +37,18 @@
     void serve(Socket peer) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(peer.getInputStream(),
                 StandardCharsets.US_ASCII));
-        String from = "";
+        String lastEventId = "";
         for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-            from = line.toLowerCase().startsWith("last-event-id:") ? line.substring(14).trim() : from;
+            lastEventId = line.toLowerCase().startsWith("last-event-id:") ? line.substring(14).trim() : lastEventId;
         }
         pause(answersAfterMs);
         peer.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n"
                 .getBytes(StandardCharsets.US_ASCII));
-        synchronized (told) {
-            calledFrom.add(from);
+        synchronized (events) {
+            calledFrom.add(lastEventId);
             calledAt.add(System.nanoTime());
-            for (int pos = from.isEmpty() ? 0 : Integer.parseInt(from); pos < told.size(); pos++) {
-                peer.getOutputStream().write(told.get(pos).getBytes(StandardCharsets.UTF_8));
+            for (int pos = lastEventId.isEmpty() ? 0 : Integer.parseInt(lastEventId); pos < events.size(); pos++) {
+                peer.getOutputStream().write(events.get(pos).getBytes(StandardCharsets.UTF_8));
             }
         }
     }
@@ -57,66 +61,70 @@
         }
     }
 
-    /** The event with the next number, told on the open call and to those who call from before it. */
+    /** Publishes the next event, to the open request and to later ones from an earlier position. */
     public void tell(boolean whole, String... hosts) {
-        synchronized (told) {
-            int pos = told.size() + 1;
-            told.add("id: " + pos + "\ndata: " + event(pos, whole, hosts) + "\n\n");
-            sign(told.get(pos - 1));
+        synchronized (events) {
+            int pos = events.size() + 1;
+            events.add("id: " + pos + "\ndata: " + event(pos, whole, hosts) + "\n\n");
+            sendOrBatch(events.get(pos - 1));
         }
     }
 
-    /** All that is told meanwhile goes out in one piece, which the caller may read as slowly as it likes. */
-    public void together(Runnable telling) {
-        String all;
-        synchronized (told) {
-            gathered = new StringBuilder();
-            telling.run();
-            all = gathered.toString();
-            gathered = null;
+    /**
+     * Sends all events that {@code publisher} publishes in a single write. The write happens outside the lock
+     * on the events, so that a slow reader does not block other publishers.
+     */
+    public void together(Runnable publisher) {
+        String batchText;
+        synchronized (events) {
+            batch = new StringBuilder();
+            publisher.run();
+            batchText = batch.toString();
+            batch = null;
         }
-        sign(all);
+        sendOrBatch(batchText);
     }
 
-    /** The number of the last event. */
+    /** Position of the last event. */
     public int position() {
-        synchronized (told) {
-            return told.size();
+        synchronized (events) {
+            return events.size();
         }
     }
 
-    /** A sign of life, if anybody listens. */
+    /** Sends a keep-alive comment if a request is open. */
     public void comment() {
-        synchronized (told) {
-            sign(":\n");
+        synchronized (events) {
+            sendOrBatch(":\n");
         }
     }
 
-    private void sign(String text) {
+    private void sendOrBatch(String text) {
         try {
-            if (gathered != null) {
-                gathered.append(text);
+            if (batch != null) {
+                batch.append(text);
             } else if (!accepted.isEmpty()) {
                 send(text);
             }
         } catch (IOException e) {
-            // the call has ended, and the next one asks for what it has missed
+            // the caller has closed the request, and its next one asks for the missed events
         }
     }
 
+    /** Writes {@code text} to the latest connection. */
     public void send(String text) throws IOException {
-        synchronized (wire) {
+        synchronized (sendLock) {
             accepted.get(accepted.size() - 1).getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    /** Whether the caller has ended its call. */
-    public boolean ended(int call) throws IOException {
-        accepted.get(call).setSoTimeout((int) Rig.PATIENCE_S * 1000);
-        return accepted.get(call).getInputStream().read() < 0;
+    /** Waits for the end of the stream and returns whether the caller closed request number {@code call}. */
+    public boolean ended(int request) throws IOException {
+        accepted.get(request).setSoTimeout((int) Rig.PATIENCE_S * 1000);
+        return accepted.get(request).getInputStream().read() < 0;
     }
 
-    /** One event that lists engines: name, address, state, and so on. */
+    /** The data of an event whose rows, made by {@code host}, list engines. */
     public static String event(int pos, boolean whole, String... hosts) {
         return "{\"pos\":" + pos + ",\"hosts\":{\"seq\":" + pos + ",\"whole\":" + whole + ",\"hosts\":["
                 + String.join(",", hosts) + "]}}";
--- a/src/rig/java/reedspring/rig/MemoryDisk.java
+++ b/src/rig/java/reedspring/rig/MemoryDisk.java
@@ -12,11 +12,12 @@
 import reedspring.spool.store.Disk;
 
 /**
- * A folder in memory that loses at a crash what a disk may lose: what was not synced, in whole or in part,
- * and names that were not synced, made, changed or gone. Faults come by plan: at a given step, or by chance.
+ * An in-memory directory that loses in a crash what a disk may lose: data that was not synced, in whole or in
+ * part, and creations, renames and deletions of files that were not synced. A crash is scheduled at a given
+ * step (an operation on the disk); I/O errors are drawn from a seeded random generator.
  */
 public final class MemoryDisk implements Disk {
-    /** The process is gone: nothing that it does from here on happens. */
+    /** Simulates the death of the process: no later operation takes effect. */
     public static final class Crash extends Error {
         private static final long serialVersionUID = 1L;
     }
@@ -24,16 +25,20 @@
     private static final class Content {
         private byte[] bytes = new byte[0];
         private int size;
-        /** Up to here it is on the disk for sure. */
+        /** Number of bytes that are certain to survive a crash. */
         private int synced;
-        /** After a failed sync what came since is in the cache only, and never gets further. */
-        private boolean lost;
+        /**
+         * Set by a failed sync: unsynced bytes stay in the page cache only, and later syncs do not write them
+         * either.
+         */
+        private boolean syncFailed;
     }
 
-    private final SplittableRandom chance;
-    /** What the process sees, and what the disk has of the names. */
-    private Map<String, Content> names = new TreeMap<>();
-    private Map<String, Content> lasting = new TreeMap<>();
+    private final SplittableRandom random;
+    /** The directory as the process sees it. */
+    private Map<String, Content> files = new TreeMap<>();
+    /** The directory as of the last sync of names. */
+    private Map<String, Content> durableFiles = new TreeMap<>();
     private long steps;
     private long crashAt = Long.MAX_VALUE;
     private double faults;
@@ -41,19 +46,20 @@
     private boolean crashed;
 
     public MemoryDisk(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
-    /** The step, counted from now, at which the process dies. */
+    /** Schedules a crash {@code count} steps from now. */
     public void crashAfter(long count) {
         crashAt = steps + count;
     }
 
-    /** The part of writes and syncs that fail from now on. */
-    public void faults(double part) {
-        faults = part;
+    /** Sets the ratio of operations that fail with an I/O error from now on. */
+    public void faults(double ratio) {
+        faults = ratio;
     }
 
+    /** Sets the capacity of the disk. */
     public void room(long bytes) {
         room = bytes;
     }
@@ -63,58 +69,61 @@
     }
 
     public long used() {
-        return names.values().stream().mapToLong(content -> content.size).sum();
+        return files.values().stream().mapToLong(content -> content.size).sum();
     }
 
-    /** What a machine finds that starts again. */
+    /** Replaces the directory by what survives a crash, and clears all faults. */
     public void restart() {
-        Map<String, Content> left = new TreeMap<>();
-        for (String name : union()) {
-            Content seen = names.get(name);
-            Content last = lasting.get(name);
-            // Of a name that changed since the names were synced the disk has the old or the new.
-            Content kept = seen == last || chance.nextBoolean() ? seen : last;
+        Map<String, Content> surviving = new TreeMap<>();
+        for (String name : allNames()) {
+            Content current = files.get(name);
+            Content durable = durableFiles.get(name);
+            // For a name changed since the last sync of names the disk may have the old or the new entry.
+            Content kept = current == durable || random.nextBoolean() ? current : durable;
             if (kept != null) {
-                left.put(name, survivor(kept));
+                surviving.put(name, survivingContent(kept));
             }
         }
-        names = left;
-        lasting = new TreeMap<>(left);
+        files = surviving;
+        durableFiles = new TreeMap<>(surviving);
         crashed = false;
         crashAt = Long.MAX_VALUE;
         faults = 0;
     }
 
-    private List<String> union() {
-        TreeMap<String, Content> all = new TreeMap<>(lasting);
-        all.putAll(names);
+    private List<String> allNames() {
+        TreeMap<String, Content> all = new TreeMap<>(durableFiles);
+        all.putAll(files);
         return List.copyOf(all.keySet());
     }
 
-    private Content survivor(Content from) {
-        Content left = new Content();
-        int unsynced = from.lost ? 0 : from.size - from.synced;
-        left.size = from.synced + (unsynced == 0 ? 0 : chance.nextInt(unsynced + 1));
-        left.bytes = Arrays.copyOf(from.bytes, left.size);
-        if (left.size > from.synced && chance.nextInt(3) == 0) {
-            // A block that was not written before the length was.
-            int at = from.synced + chance.nextInt(left.size - from.synced);
-            Arrays.fill(left.bytes, at, Math.min(left.size, at + 512), (byte) 0);
+    private Content survivingContent(Content before) {
+        Content survivor = new Content();
+        int unsynced = before.syncFailed ? 0 : before.size - before.synced;
+        survivor.size = before.synced + (unsynced == 0 ? 0 : random.nextInt(unsynced + 1));
+        survivor.bytes = Arrays.copyOf(before.bytes, survivor.size);
+        if (survivor.size > before.synced && random.nextInt(3) == 0) {
+            // A block that was not written although the new file length was.
+            int blockStart = before.synced + random.nextInt(survivor.size - before.synced);
+            Arrays.fill(survivor.bytes, blockStart, Math.min(survivor.size, blockStart + 512), (byte) 0);
         }
-        left.synced = left.size;
-        return left;
+        survivor.synced = survivor.size;
+        return survivor;
     }
 
-    /** Turns one bit somewhere in the files of that ending; false if there is none. */
+    /**
+     * Flips one random bit, after the first 64 bytes, in a file whose name ends in {@code ending}; false if
+     * there is no such file.
+     */
     public boolean flip(String ending) {
-        List<Content> some = names.entrySet().stream()
+        List<Content> candidates = files.entrySet().stream()
                 .filter(e -> e.getKey().endsWith(ending)
                         && e.getValue().size > 64).map(Map.Entry::getValue).toList();
-        if (some.isEmpty()) {
+        if (candidates.isEmpty()) {
             return false;
         }
-        Content one = some.get(chance.nextInt(some.size()));
-        one.bytes[64 + chance.nextInt(one.size - 64)] ^= (byte) (1 << chance.nextInt(8));
+        Content chosen = candidates.get(random.nextInt(candidates.size()));
+        chosen.bytes[64 + random.nextInt(chosen.size - 64)] ^= (byte) (1 << random.nextInt(8));
         return true;
     }
 
@@ -125,14 +134,14 @@
         }
     }
 
-    private void mayFail(String what) throws IOException {
-        if (faults > 0 && chance.nextDouble() < faults) {
-            throw new IOException(what + " failed");
+    private void failRandomly(String operation) throws IOException {
+        if (faults > 0 && random.nextDouble() < faults) {
+            throw new IOException("simulated fault: " + operation + " failed");
         }
     }
 
     private Content content(String name) throws IOException {
-        Content content = names.get(name);
+        Content content = files.get(name);
         if (content == null) {
             throw new FileNotFoundException(name);
         }
@@ -142,31 +151,31 @@
     @Override
     public List<String> list() {
         step();
-        return List.copyOf(names.keySet());
+        return List.copyOf(files.keySet());
     }
 
     @Override
     public Out create(String name) throws IOException {
         step();
-        mayFail("creating");
-        if (names.containsKey(name)) {
-            throw new IOException(name + " exists");
+        failRandomly("creating");
+        if (files.containsKey(name)) {
+            throw new IOException(name + " exists already");
         }
-        Content made = new Content();
-        names.put(name, made);
+        Content created = new Content();
+        files.put(name, created);
         return new Out() {
             @Override
             public void write(ByteBuffer from) throws IOException {
                 int length = from.remaining();
                 try {
                     step();
-                    mayFail("writing");
+                    failRandomly("writing");
                     if (used() + length > room) {
-                        throw new IOException("no space left");
+                        throw new IOException("no space left on the disk");
                     }
                 } catch (IOException | Crash e) {
-                    // A short write: some of it is there.
-                    byte[] some = new byte[chance.nextInt(length + 1)];
+                    // A short write: a part of the data is written.
+                    byte[] some = new byte[random.nextInt(length + 1)];
                     from.get(some);
                     append(some);
                     throw e;
@@ -177,30 +186,30 @@
             }
 
             private void append(byte[] more) {
-                if (made.size + more.length > made.bytes.length) {
-                    made.bytes = Arrays.copyOf(made.bytes, Math.max(4096, 2 * (made.size + more.length)));
+                if (created.size + more.length > created.bytes.length) {
+                    created.bytes = Arrays.copyOf(created.bytes, Math.max(4096, 2 * (created.size + more.length)));
                 }
-                System.arraycopy(more, 0, made.bytes, made.size, more.length);
-                made.size += more.length;
+                System.arraycopy(more, 0, created.bytes, created.size, more.length);
+                created.size += more.length;
             }
 
             @Override
             public void sync() throws IOException {
                 step();
                 try {
-                    mayFail("sync");
+                    failRandomly("sync");
                 } catch (IOException e) {
-                    made.lost = true;
+                    created.syncFailed = true;
                     throw e;
                 }
-                if (!made.lost) {
-                    made.synced = made.size;
+                if (!created.syncFailed) {
+                    created.synced = created.size;
                 }
             }
 
             @Override
             public void close() {
-                // nothing is lost or gained by it
+                // closing has no effect on the content
             }
         };
     }
@@ -222,7 +231,7 @@
 
             @Override
             public void close() {
-                // nothing to give back
+                // holds no resource
             }
         };
     }
@@ -230,27 +239,27 @@
     @Override
     public void rename(String from, String to) throws IOException {
         step();
-        mayFail("renaming");
-        names.put(to, content(from));
-        names.remove(from);
+        failRandomly("renaming");
+        files.put(to, content(from));
+        files.remove(from);
     }
 
     @Override
     public void delete(String name) throws IOException {
         step();
-        mayFail("deleting");
-        names.remove(name);
+        failRandomly("deleting");
+        files.remove(name);
     }
 
     @Override
     public void syncNames() throws IOException {
         step();
-        mayFail("sync of names");
-        lasting = new HashMap<>(names);
+        failRandomly("sync of names");
+        durableFiles = new HashMap<>(files);
     }
 
     @Override
     public void close() {
-        // the next process opens it again
+        // the content stays for the next process
     }
 }
--- a/src/rig/java/reedspring/rig/Program.java
+++ b/src/rig/java/reedspring/rig/Program.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 
-/** The program, started as the platform starts it. */
+/** A front process under test, started with the command line of {@code deploy/balancer.toml}. */
 public final class Program implements Closeable {
-    private static final int PORTS = 3_000;
-    private static final int FIRST_PORT = 20_000 + PORTS * Rig.LANE;
-    private static final AtomicInteger next = new AtomicInteger((int) ProcessHandle.current().pid());
+    private static final int PORTS_PER_LANE = 3_000;
+    private static final int FIRST_PORT = 20_000 + PORTS_PER_LANE * Rig.LANE;
+    private static final AtomicInteger nextPort = new AtomicInteger((int) ProcessHandle.current().pid());
     public final Process process;
     public final List<String> log = new CopyOnWriteArrayList<>();
     public final String listen;
@@ -31,104 +31,107 @@
         this(config, Path.of("."));
     }
 
-    /** Of another checkout that is built. */
+    /** Starts the build of another checkout, whose directory is {@code home}. */
     public Program(String config, Path home) throws IOException {
-        this(config, home, List.of("/bin/sh", "-c", run(home)));
+        this(config, home, List.of("/bin/sh", "-c", runCommand(home)));
     }
 
-    /** With an installation's settings. */
+    /** Starts a front with a settings file. */
     public static Program with(String config, Path settings) throws IOException {
         return new Program(config, Path.of("."),
-                List.of("/bin/sh", "-c", run(Path.of(".")) + " --settings " + settings));
+                List.of("/bin/sh", "-c", runCommand(Path.of(".")) + " --settings " + settings));
     }
 
-    /** With one more word for the JVM. */
-    public static Program withJvm(String config, String word) throws IOException {
-        return new Program(config, Path.of("."), List.of("/bin/sh", "-c", run(Path.of("."))
-                .replace(" -jar ", " " + word + " -jar ")));
+    /** Starts a front with one additional JVM option. */
+    public static Program withJvm(String config, String jvmOption) throws IOException {
+        return new Program(config, Path.of("."), List.of("/bin/sh", "-c", runCommand(Path.of("."))
+                .replace(" -jar ", " " + jvmOption + " -jar ")));
     }
 
-    /** Whose system calls can be made to fail. */
+    /** Starts a front whose system calls {@code shim} can make fail. */
     public static Program withShim(String config, FaultShim shim) throws IOException {
         return withShim(config, shim, Path.of("."));
     }
 
-    /** The same, of another checkout that is built. */
+    /** Starts the build of another checkout with the fault shim loaded. */
     public static Program withShim(String config, FaultShim shim, Path home) throws IOException {
-        return new Program(listenOf(config), written(Files.createTempFile("reedspring", ".json"), config),
+        return new Program(listenAddress(config), writeConfig(Files.createTempFile("reedspring", ".json"), config),
                 home,
-                List.of("/bin/sh", "-c", run(home)), shim::loadInto);
+                List.of("/bin/sh", "-c", runCommand(home)), shim::loadInto);
     }
 
-    /** With an installation's settings, and with system calls that can be made to fail. */
+    /** Starts a front with a settings file and with the fault shim loaded. */
     public static Program with(String config, Path settings, FaultShim shim) throws IOException {
-        return new Program(listenOf(config), written(Files.createTempFile("reedspring", ".json"), config),
-                Path.of("."), List.of("/bin/sh", "-c", run(Path.of(".")) + " --settings " + settings),
+        return new Program(listenAddress(config), writeConfig(Files.createTempFile("reedspring", ".json"), config),
+                Path.of("."), List.of("/bin/sh", "-c", runCommand(Path.of(".")) + " --settings " + settings),
                 shim::loadInto);
     }
 
-    /** Started by what ignores SIGHUP, as nohup and some supervisors do. */
+    /** Starts a front from a parent that ignores SIGHUP, as nohup and some supervisors do. */
     public static Program ofOneThatIgnoresSighup(String config) throws IOException {
         return new Program(config, Path.of("."),
-                List.of("/bin/sh", "-c", "trap '' HUP; exec /bin/sh -c \"$0\"", run(Path.of("."))));
+                List.of("/bin/sh", "-c", "trap '' HUP; exec /bin/sh -c \"$0\"", runCommand(Path.of("."))));
     }
 
-    /** Under a limit on descriptors that the system itself holds it to. */
-    public static Program withDescriptors(int most, String config) throws IOException {
+    /** Starts a front under a descriptor limit that the kernel enforces. */
+    public static Program withDescriptors(int maxDescriptors, String config) throws IOException {
         return new Program(config, Path.of("."),
-                List.of("/bin/sh", "-c", "ulimit -n " + most + "; exec /bin/sh -c \"$0\"",
-                        run(Path.of("."))));
+                List.of("/bin/sh", "-c", "ulimit -n " + maxDescriptors + "; exec /bin/sh -c \"$0\"",
+                        runCommand(Path.of("."))));
     }
 
-    /** Whose log goes to a pipe that is full already, and that nobody reads before it wants to. */
+    /** Starts a front whose log goes to a pipe that is already full; the caller reads it when needed. */
     public static Program withFullLog(String config, Path pipe) throws IOException, InterruptedException {
-        Rig.require(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor() == 0, "no pipe");
+        Rig.require(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor() == 0, "mkfifo failed");
         return new Program(config, Path.of("."), List.of("/bin/sh", "-c",
                 "exec 3<>\"$1\"; head -c 65536 /dev/zero >&3; exec /bin/sh -c \"$0\" >&3 2>&3",
-                run(Path.of(".")), pipe.toString()));
+                runCommand(Path.of(".")), pipe.toString()));
     }
 
     /**
-     * Whose configuration is a pipe: each time the program, or the shell before it, opens the file, it waits
-     * until {@link #configured} is called.
+     * Starts a front whose configuration file is a named pipe: each time the program, or the shell that
+     * launches it, opens the file, it blocks until {@link #configured} is called.
      */
     public static Program waiting(String listen) throws IOException, InterruptedException {
         Path pipe = Files.createTempDirectory("reedspring").resolve("config");
-        Rig.require(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor() == 0, "no pipe");
+        Rig.require(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor() == 0, "mkfifo failed");
         pipe.toFile().deleteOnExit();
-        return new Program(listen, pipe, Path.of("."), List.of("/bin/sh", "-c", run(Path.of("."))));
+        return new Program(listen, pipe, Path.of("."), List.of("/bin/sh", "-c", runCommand(Path.of("."))));
     }
 
-    /** What the line that starts the program reads of it, before there is a program. */
+    /** Supplies the configuration to the launching shell and waits until that has started the JVM. */
     public void configuredLine(String config) throws IOException, InterruptedException {
         configured(config, () -> { });
         Rig.await("the program itself", () -> process.info().command().orElse("").endsWith("java"));
     }
 
-    /** Waits until the file is opened, lets {@code meanwhile} run, and gives it to be read if it can. */
-    public void configured(String config, Server.Work meanwhile) throws IOException {
-        try (OutputStream out = Files.newOutputStream(file)) {
-            meanwhile.run();
+    /**
+     * Waits until the configuration is opened, runs {@code beforeWrite}, and then writes the configuration to
+     * the pipe if the process is still alive.
+     */
+    public void configured(String config, Server.IoTask beforeWrite) throws IOException {
+        try (OutputStream pipe = Files.newOutputStream(file)) {
+            beforeWrite.run();
             if (process.isAlive()) {
-                out.write(config.getBytes(StandardCharsets.UTF_8));
+                pipe.write(config.getBytes(StandardCharsets.UTF_8));
             }
         }
     }
 
     Program(String config, Path home, List<String> command) throws IOException {
-        this(listenOf(config), Files.createTempFile("reedspring", ".json"), home, command, config);
+        this(listenAddress(config), Files.createTempFile("reedspring", ".json"), home, command, config);
     }
 
-    private static String listenOf(String config) {
+    private static String listenAddress(String config) {
         return config.replaceAll(".*\"listen\":\"([^\"]*)\".*", "$1");
     }
 
     private Program(String listen, Path file, Path home, List<String> command, String config)
             throws IOException {
-        this(listen, written(file, config), home, command);
+        this(listen, writeConfig(file, config), home, command);
     }
 
-    private static Path written(Path file, String config) throws IOException {
+    private static Path writeConfig(Path file, String config) throws IOException {
         file.toFile().deleteOnExit();
         return Files.writeString(file, config);
     }
@@ -138,63 +141,66 @@
     }
 
     private Program(String listen, Path file, Path home, List<String> command,
-            Consumer<ProcessBuilder> surroundings) throws IOException {
+            Consumer<ProcessBuilder> configureProcess) throws IOException {
         this.listen = listen;
         this.file = file;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("RELAY_CONFIG", file.toString());
         builder.directory(home.toFile());
-        surroundings.accept(builder);
+        configureProcess.accept(builder);
         process = builder.start();
-        Server.background(() -> {
-            BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream(),
+        Server.runInBackground(() -> {
+            BufferedReader output = new BufferedReader(new InputStreamReader(process.getInputStream(),
                     StandardCharsets.UTF_8));
-            for (String line = out.readLine(); line != null; line = out.readLine()) {
+            for (String line = output.readLine(); line != null; line = output.readLine()) {
                 log.add(line);
             }
         });
     }
 
-    static String run(Path home) throws IOException {
+    static String runCommand(Path home) throws IOException {
         return Files.readAllLines(home.resolve("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run =")).findFirst().orElseThrow().split("\"")[1];
     }
 
     public Program ready() throws InterruptedException {
         Rig.await("the front to serve", () -> logged("serves on") || !process.isAlive());
-        Rig.require(process.isAlive(), "the front ended: " + log);
+        Rig.require(process.isAlive(), "the front exited before it was ready: " + log);
         return this;
     }
 
     public void signal(String name) throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
-        Rig.require(new ProcessBuilder("kill", name, pid).start().waitFor() == 0, "no " + name);
+        Rig.require(new ProcessBuilder("kill", name, pid).start().waitFor() == 0,
+                "kill could not send " + name);
     }
 
-    /** One signal, so many times in a row. */
+    /** Sends one signal {@code times} times in a row. */
     public void signals(String name, int times) throws IOException, InterruptedException {
-        String series = "i=0; while [ $i -lt " + times + " ]; do kill -" + name + " " + process.pid()
+        String script = "i=0; while [ $i -lt " + times + " ]; do kill -" + name + " " + process.pid()
                 + " || exit 1; i=$((i+1)); done";
-        Rig.require(new ProcessBuilder("/bin/sh", "-c", series).start().waitFor() == 0, "no " + name);
+        Rig.require(new ProcessBuilder("/bin/sh", "-c", script).start().waitFor() == 0,
+                "kill could not send " + name);
     }
 
-    /** Puts another configuration in place, as a whole, and tells the front. */
+    /** Replaces the configuration file atomically and sends SIGHUP to the front. */
     public void reload(String config) throws IOException, InterruptedException {
-        Path next = Files.createTempFile("reedspring", ".json");
-        Files.writeString(next, config);
-        Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
+        Path replacement = Files.createTempFile("reedspring", ".json");
+        Files.writeString(replacement, config);
+        Files.move(replacement, file, StandardCopyOption.REPLACE_EXISTING);
         signal("-HUP");
     }
 
-    /** The file of its configuration. */
+    /** Path of the configuration file. */
     public Path file() {
         return file;
     }
 
-    /** From now on it may open no descriptor past this; what is open stays. */
-    public void descriptors(int most) throws IOException, InterruptedException {
+    /** Limits the descriptors that the running process may open; open ones are not closed. */
+    public void descriptors(int maxDescriptors) throws IOException, InterruptedException {
         Rig.require(new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()),
-                "--nofile=" + most + ":").start().waitFor() == 0, "no limit");
+                "--nofile=" + maxDescriptors + ":").start().waitFor() == 0,
+                "prlimit could not set the descriptor limit");
     }
 
     public boolean logged(String text) {
@@ -210,7 +216,12 @@
         process.destroyForcibly();
     }
 
-    /** @param known the journal's events of the start; a null journal leaves the field out */
+    /**
+     * A configuration file for one front.
+     *
+     * @param journal address of the journal service; null leaves the field out
+     * @param known journal events that the front knows at its start
+     */
     public static String config(String listen, String journal, String... known) {
         return "{\"name\":\"n0\",\"listen\":\"" + listen + "\",\"seed\":\"8c1f30d27a5be964\","
                 + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
@@ -226,16 +237,19 @@
                 + "\"share\":1.0,\"quotaPerS\":100.0}],\"novelty\":[1,{\"a\":null}]}}";
     }
 
-    /** Not one that the kernel hands out: a stand-in that listens on any could get it before the front. */
+    /**
+     * A free loopback address. Its port is outside the kernel's ephemeral range: a stand-in that listens on
+     * an ephemeral port could otherwise be given it before the front binds it.
+     */
     public static String freeAddress() throws IOException {
-        for (int tries = 0; tries < PORTS; tries++) {
-            int port = FIRST_PORT + Math.floorMod(next.getAndIncrement(), PORTS);
+        for (int tries = 0; tries < PORTS_PER_LANE; tries++) {
+            int port = FIRST_PORT + Math.floorMod(nextPort.getAndIncrement(), PORTS_PER_LANE);
             try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return "127.0.0.1:" + probe.getLocalPort();
             } catch (BindException e) {
-                // taken; the next one
+                // the port is in use; try the next one
             }
         }
-        throw new IOException("no free port from " + FIRST_PORT);
+        throw new IOException("no free port in the " + PORTS_PER_LANE + " ports from " + FIRST_PORT);
     }
 }
--- a/src/rig/java/reedspring/rig/Rig.java
+++ b/src/rig/java/reedspring/rig/Rig.java
@@ -2,27 +2,32 @@
 
 import java.util.function.Supplier;
 
-/** What stands round a started program: clients, engines and the journal service on loopback sockets. */
+/**
+ * Common parts of the test rig, which surrounds a started front with clients, engines and a journal service
+ * on loopback sockets: its timeout, its lane and its checks.
+ */
 public final class Rig {
+    /** How long a check waits for its condition. */
     public static final long PATIENCE_S = 20;
-    /** Rigs at the same time take a lane each, 0 to 3: addresses and ports of their own. */
+    /** Lane of this rig, 0 to 3. Rigs that run at the same time need different lanes, which set their ports. */
     public static final int LANE = Math.floorMod(Integer.getInteger("rig.lane", 0), 4);
 
-    /** Waits for what other threads bring about. */
-    public static <T> T await(String what, Supplier<T> found) throws InterruptedException {
-        for (long end = System.nanoTime() + PATIENCE_S * 1_000_000_000L; System.nanoTime() < end; ) {
-            T value = found.get();
+    /** Polls until {@code probe} gives a value other than null and false, and returns it. */
+    public static <T> T await(String condition, Supplier<T> probe) throws InterruptedException {
+        for (long deadline = System.nanoTime() + PATIENCE_S * 1_000_000_000L; System.nanoTime() < deadline; ) {
+            T value = probe.get();
             if (value != null && !Boolean.FALSE.equals(value)) {
                 return value;
             }
             Thread.sleep(5);
         }
-        throw new AssertionError("waited in vain for " + what);
+        throw new AssertionError("timed out waiting for " + condition);
     }
 
-    public static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new AssertionError(what);
+    /** Throws an {@link AssertionError} unless the condition holds. */
+    public static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 
--- a/src/rig/java/reedspring/rig/Server.java
+++ b/src/rig/java/reedspring/rig/Server.java
@@ -8,58 +8,59 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Accepts connections on a free port, each served by a thread of its own. */
+/** A blocking loopback server that serves each accepted connection on a thread of its own. */
 public abstract class Server implements Closeable {
     final ServerSocket socket;
     public final List<Socket> accepted = new CopyOnWriteArrayList<>();
-    /** Those that the other side has ended. */
+    /** Accepted connections that the peer has closed. */
     public final List<Socket> left = new CopyOnWriteArrayList<>();
-    /** Connections past this are closed as they come. */
+    /** Connections over this number are reset when they are accepted. */
     public volatile int mostConnections = Integer.MAX_VALUE;
 
     Server(int port) throws IOException {
         this(new ServerSocket(port, 64, InetAddress.getLoopbackAddress()));
-        accept();
+        startAccepting();
     }
 
-    /** One that accepts nothing yet. */
+    /** Creates a server that accepts no connection before {@link #accept}. */
     Server(ServerSocket socket) {
         this.socket = socket;
     }
 
-    final void accept() {
-        background(() -> {
+    final void startAccepting() {
+        runInBackground(() -> {
             while (true) {
-                Socket next = socket.accept();
+                Socket connection = socket.accept();
                 if (accepted.size() - left.size() >= mostConnections) {
-                    next.setSoLinger(true, 0);
-                    next.close();
+                    connection.setSoLinger(true, 0);
+                    connection.close();
                     continue;
                 }
-                next.setTcpNoDelay(true);
-                accepted.add(next);
-                background(() -> {
+                connection.setTcpNoDelay(true);
+                accepted.add(connection);
+                runInBackground(() -> {
                     try {
-                        serve(next);
+                        serve(connection);
                     } catch (IOException e) {
-                        left.add(next);
-                        ended(next);
+                        left.add(connection);
+                        onClosed(connection);
                     }
                 });
             }
         });
     }
 
-    public interface Work {
+    /** A task that may fail with an I/O error. */
+    public interface IoTask {
         void run() throws IOException;
     }
 
-    static void background(Work work) {
+    static void runInBackground(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // the other side has gone, or the test is over
+                // the peer has closed the connection, or the test has ended
             }
         });
         thread.setDaemon(true);
@@ -68,15 +69,15 @@
 
     abstract void serve(Socket peer) throws IOException;
 
-    /** The other side has ended it. */
-    void ended(Socket peer) {
+    /** Called when the peer has closed the connection. */
+    void onClosed(Socket peer) {
     }
 
     public String address() {
         return "127.0.0.1:" + socket.getLocalPort();
     }
 
-    /** Ends the connections as a process does that dies. */
+    /** Resets all connections (RST), as when the peer of the front is killed. */
     public void reset() throws IOException {
         for (Socket peer : accepted) {
             if (!peer.isClosed()) {
--- a/src/rig/java/reedspring/rig/Starts.java
+++ b/src/rig/java/reedspring/rig/Starts.java
@@ -56,7 +56,7 @@
                 for (int k = 0; k < CONNECTIONS; k++) {
                     Client client = front.client();
                     clients.add(client);
-                    Server.background(() -> {
+                    Server.runInBackground(() -> {
                         while (true) {
                             client.read();
                         }
