--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -28,32 +28,40 @@
 import reedspring.boot.BootException;
 
 /**
- * A front whose control is the program's own (configuration, journal follower on a real socket, timers,
- * {@code Control} under the configuration's seed) and whose data path is drawn: queries come from chance in
- * place of clients' sockets, and submissions end after drawn times in place of engine connections. Many of
- * them share a {@link Loop}. What it saw is told by the other methods, from any thread; their moments are
- * nanoseconds of the system's steady clock, which processes of one machine share.
+ * A front with the real control plane and a simulated data path. Configuration, journal follower (on a real
+ * socket), timers and {@code Control} (under the configuration's seed) are the program's own. Queries come
+ * from a random generator instead of client sockets, and submissions end after random times instead of on
+ * engine connections. Many hollow fronts share a {@link Loop}. The methods may be called from any thread.
+ * Times are {@link System#nanoTime()}, a clock that the processes of one machine share. A tick is a tenth of
+ * a millisecond, the unit of time of the front's decisions.
  */
 public final class HollowFront implements Closeable {
-    /** Whether a query of this front's group is asked, and what it is like. */
+    /**
+     * The properties of a generated query.
+     *
+     * @param workMs the work that the client states, which the duration on an engine is drawn from
+     * @param needMb the memory that the client states
+     * @param patienceMs how long the client waits for an answer
+     */
     public record Draw(String group, double workMs, double needMb, int patienceMs) {
     }
 
     private static final int CLIENTS = 8;
-    /** Events of which the moment in force is kept. */
-    private static final int KEPT = 8_192;
-    private static final double SCATTER = 0.2;
+    /** Number of journal positions whose time of taking effect is kept. */
+    private static final int MAX_KEPT_POSITIONS = 8_192;
+    /** Standard deviation of the logarithm of a submission's duration over its estimate. */
+    private static final double DURATION_SIGMA = 0.2;
 
-    /** One event loop's thread, for as many fronts as its thread can carry. */
+    /** An event loop with one thread, shared by any number of hollow fronts. */
     public static final class Loop implements Closeable {
         private final Turns turns = new Turns();
         private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
-        private final EventLoop loop = group.next();
-        private final long thread = on(() -> Thread.currentThread().getId());
+        private final EventLoop eventLoop = group.next();
+        private final long threadId = call(() -> Thread.currentThread().getId());
 
-        private <T> T on(Callable<T> what) {
+        private <T> T call(Callable<T> task) {
             try {
-                return loop.submit(what).get(60, TimeUnit.SECONDS);
+                return eventLoop.submit(task).get(60, TimeUnit.SECONDS);
             } catch (ExecutionException e) {
                 throw new IllegalStateException(e.getCause().toString(), e.getCause());
             } catch (Exception e) {
@@ -61,9 +69,9 @@
             }
         }
 
-        /** Processor time of its thread so far, in nanoseconds. */
+        /** CPU time that the loop's thread has used, in nanoseconds. */
         public long cpuNanos() {
-            return ManagementFactory.getThreadMXBean().getThreadCpuTime(thread);
+            return ManagementFactory.getThreadMXBean().getThreadCpuTime(threadId);
         }
 
         @Override
@@ -72,178 +80,182 @@
         }
     }
 
-    private final Loop on;
-    private final Function<SplittableRandom, Draw> draws;
-    private final double perSecond;
-    private final SplittableRandom chance;
+    private final Loop loop;
+    private final Function<SplittableRandom, Draw> queryGenerator;
+    private final double queriesPerSecond;
+    private final SplittableRandom random;
     private final Front front;
     private final Journal journal;
     private final List<EmbeddedChannel> clients = new ArrayList<>();
-    private final Map<String, String> listed = new HashMap<>();
-    private final Map<String, Long> sentAt = new HashMap<>();
-    private final Map<String, Long> firstSentAt = new HashMap<>();
-    private final ArrayDeque<long[]> inForce = new ArrayDeque<>();
+    private final Map<String, String> listedRows = new HashMap<>();
+    private final Map<String, Long> lastSentNanos = new HashMap<>();
+    private final Map<String, Long> firstSentNanos = new HashMap<>();
+    private final ArrayDeque<long[]> effectiveTimes = new ArrayDeque<>();
     private final Map<String, Integer> logged = new HashMap<>();
-    private final AtomicReference<String> reloading = new AtomicReference<>();
-    private long traces;
-    private long asked;
-    private long answered;
-    private long finished;
+    private final AtomicReference<String> pendingReload = new AtomicReference<>();
+    private long lastTrace;
+    private long generatedQueries;
+    private long answers;
+    private long finishedSubmissions;
     private long digest;
-    private boolean ended;
+    private boolean closed;
 
     /**
-     * Brings one up.
+     * Creates and starts a front on the loop.
      *
      * @param config a front's configuration file
-     * @param perSecond queries a second, on average
+     * @param queriesPerSecond the mean rate of queries, whose arrivals are a Poisson process
+     * @param queryGenerator draws a query from the front's random generator
      * @throws IllegalStateException if the configuration can't be used, naming the field
      */
-    public HollowFront(Loop on, Path config, double perSecond, Function<SplittableRandom, Draw> draws) {
-        this.on = on;
-        this.draws = draws;
-        this.perSecond = perSecond;
-        Object[] made = on.on(() -> raise(config));
-        this.chance = (SplittableRandom) made[0];
-        this.front = (Front) made[1];
-        this.journal = (Journal) made[2];
-        on.loop.execute(this::begin);
+    public HollowFront(Loop loop, Path config, double queriesPerSecond,
+            Function<SplittableRandom, Draw> queryGenerator) {
+        this.loop = loop;
+        this.queryGenerator = queryGenerator;
+        this.queriesPerSecond = queriesPerSecond;
+        Object[] parts = loop.call(() -> createParts(config));
+        this.random = (SplittableRandom) parts[0];
+        this.front = (Front) parts[1];
+        this.journal = (Journal) parts[2];
+        loop.eventLoop.execute(this::start);
     }
 
-    private Object[] raise(Path config) throws BootException, IOException {
-        FrontConfiguration orders = FrontConfiguration.read(config.toString());
-        Log log = new Log(orders.limits(), this::line);
-        Front made = new Front(on.loop, on.turns, orders.boot(), orders.limits(), log, orders.seed(),
-                Runner::new);
-        Journal follower = Startup.follow(on.loop, made, orders);
-        return new Object[] {new SplittableRandom(orders.seed()), made, follower};
+    private Object[] createParts(Path config) throws BootException, IOException {
+        FrontConfiguration configuration = FrontConfiguration.read(config.toString());
+        Log log = new Log(configuration.limits(), this::countLogLine);
+        Front created = new Front(loop.eventLoop, loop.turns, configuration.boot(), configuration.limits(),
+                log, configuration.seed(), SimulatedRunner::new);
+        Journal follower = Startup.follow(loop.eventLoop, created, configuration);
+        return new Object[] {new SplittableRandom(configuration.seed()), created, follower};
     }
 
-    private void begin() {
+    private void start() {
         for (int k = 0; k < CLIENTS; k++) {
             clients.add(new EmbeddedChannel(new ClientConnection(front)));
         }
-        askLater();
-        note();
+        scheduleNextQuery();
+        recordPosition();
     }
 
-    // ---- the drawn data path
+    // ---- the simulated data path
 
-    private void askLater() {
-        if (perSecond > 0) {
-            double span = -Math.log(1 - chance.nextDouble()) * 10_000 / perSecond;
-            front.timers().in(Math.max(1, Math.round(span)), () -> {
-                askLater();
-                ask(draws.apply(chance));
+    private void scheduleNextQuery() {
+        if (queriesPerSecond > 0) {
+            double intervalTicks = -Math.log(1 - random.nextDouble()) * 10_000 / queriesPerSecond;
+            front.timers().in(Math.max(1, Math.round(intervalTicks)), () -> {
+                scheduleNextQuery();
+                submitQuery(queryGenerator.apply(random));
             });
         }
     }
 
-    private void ask(Draw draw) {
+    private void submitQuery(Draw query) {
         Map<String, String> fields = new HashMap<>();
-        fields.put("trace", String.format("%016x", ++traces));
-        fields.put("patience", Integer.toString(draw.patienceMs()));
+        fields.put("trace", String.format("%016x", ++lastTrace));
+        fields.put("patience", Integer.toString(query.patienceMs()));
         fields.put("customer", "acme");
-        fields.put("weight", String.format(Locale.ROOT, "%.2f", draw.workMs()));
-        fields.put("need_mb", String.format(Locale.ROOT, "%.0f", draw.needMb()));
-        EmbeddedChannel client = clients.get((int) (traces % CLIENTS));
-        asked++;
-        client.writeInbound(new RpcDecoder.Call(traces, draw.group(), fields, Unpooled.copiedBuffer(
-                "select 1 from sales_" + traces % 9 + ".orders", StandardCharsets.US_ASCII), null));
-        take(client);
+        fields.put("weight", String.format(Locale.ROOT, "%.2f", query.workMs()));
+        fields.put("need_mb", String.format(Locale.ROOT, "%.0f", query.needMb()));
+        EmbeddedChannel client = clients.get((int) (lastTrace % CLIENTS));
+        generatedQueries++;
+        client.writeInbound(new RpcDecoder.Call(lastTrace, query.group(), fields, Unpooled.copiedBuffer(
+                "select 1 from sales_" + lastTrace % 9 + ".orders", StandardCharsets.US_ASCII), null));
+        countAnswers(client);
     }
 
-    /** Takes what has been answered; a message begins with the array of four that MessagePack-RPC has. */
-    private void take(EmbeddedChannel client) {
+    /** Counts the answers: a response begins with MessagePack-RPC's array of four and the type 1. */
+    private void countAnswers(EmbeddedChannel client) {
         client.runPendingTasks();
-        for (ByteBuf out = client.readOutbound(); out != null; out = client.readOutbound()) {
-            boolean head = out.readableBytes() > 1 && out.getByte(0) == (byte) 0x94 && out.getByte(1) == 1;
-            answered += head ? 1 : 0;
-            out.release();
+        for (ByteBuf message = client.readOutbound(); message != null; message = client.readOutbound()) {
+            boolean startsResponse = message.readableBytes() > 1 && message.getByte(0) == (byte) 0x94
+                    && message.getByte(1) == 1;
+            answers += startsResponse ? 1 : 0;
+            message.release();
         }
     }
 
-    /** Ends each submission well, after about its work. */
-    private final class Runner implements SubmissionRunner {
-        private final Front of;
+    /** Finishes every submission successfully, after a log-normal time around its estimated work. */
+    private final class SimulatedRunner implements SubmissionRunner {
+        private final Front owner;
 
-        private Runner(Front of) {
-            this.of = of;
+        private SimulatedRunner(Front owner) {
+            this.owner = owner;
         }
 
         @Override
         public void listed(Event.Reading reading, List<Host> hosts) {
             if (reading != Event.Reading.CHANGES) {
-                listed.clear();
+                listedRows.clear();
                 digest = 0;
             }
             for (Host host : hosts) {
                 String name = host.listing().engine().address();
                 boolean gone = host.listing().health() == Event.Health.GONE;
                 String row = digestText(name, host.listing().health() == Event.Health.UP);
-                String before = gone ? listed.remove(name) : listed.put(name, row);
+                String before = gone ? listedRows.remove(name) : listedRows.put(name, row);
                 digest += (gone ? 0 : digest(row)) - (before == null ? 0 : digest(before));
                 if (gone) {
-                    firstSentAt.remove(name);
+                    firstSentNanos.remove(name);
                 }
             }
-            on.loop.execute(HollowFront.this::note);
+            loop.eventLoop.execute(HollowFront.this::recordPosition);
         }
 
         @Override
         public void send(Id.Engine engine, Submission s) {
-            long at = System.nanoTime();
-            sentAt.put(engine.address(), at);
-            firstSentAt.putIfAbsent(engine.address(), at);
+            long sentNanos = System.nanoTime();
+            lastSentNanos.put(engine.address(), sentNanos);
+            firstSentNanos.putIfAbsent(engine.address(), sentNanos);
             s.written = true;
-            s.sentAt = of.clock().now();
-            long work = s.query.taken.estimate();
-            long took = Math.max(1, Math.round(work * Math.exp(SCATTER * chance.nextGaussian())));
-            of.timers().in(took, () -> ends(engine, s, work));
+            s.sentAt = owner.clock().now();
+            long workTicks = s.query.taken.estimate();
+            long durationTicks = Math.max(1,
+                    Math.round(workTicks * Math.exp(DURATION_SIGMA * random.nextGaussian())));
+            owner.timers().in(durationTicks, () -> finish(engine, s, workTicks));
         }
 
-        private void ends(Id.Engine engine, Submission s, long work) {
+        private void finish(Id.Engine engine, Submission s, long workTicks) {
             if (s.over) {
                 return;
             }
             s.pages = new ByteBuf[0];
-            s.work = work;
-            of.seenEnd(s);
-            of.reported(engine.address(), String.format(Locale.ROOT, "util:%.2f;x0:%.2f;queue:0",
-                    0.5 * chance.nextDouble(), 0.5 * chance.nextDouble()));
-            finished++;
-            of.closed(s, Event.Outcome.FINISHED);
+            s.work = workTicks;
+            owner.seenEnd(s);
+            owner.reported(engine.address(), String.format(Locale.ROOT, "util:%.2f;x0:%.2f;queue:0",
+                    0.5 * random.nextDouble(), 0.5 * random.nextDouble()));
+            finishedSubmissions++;
+            owner.closed(s, Event.Outcome.FINISHED);
         }
 
         @Override
         public void tick(long now) {
-            clients.forEach(HollowFront.this::take);
+            clients.forEach(HollowFront.this::countAnswers);
         }
     }
 
-    // ---- what it saw
+    // ---- observations
 
-    private void note() {
+    private void recordPosition() {
         long position = journal.position();
-        if (inForce.isEmpty() || inForce.getLast()[0] < position) {
-            inForce.add(new long[] {position, System.nanoTime()});
-            if (inForce.size() > KEPT) {
-                inForce.poll();
+        if (effectiveTimes.isEmpty() || effectiveTimes.getLast()[0] < position) {
+            effectiveTimes.add(new long[] {position, System.nanoTime()});
+            if (effectiveTimes.size() > MAX_KEPT_POSITIONS) {
+                effectiveTimes.poll();
             }
         }
     }
 
-    private String line(String level, String event, String detail, int more) {
+    private String countLogLine(String level, String event, String detail, int more) {
         logged.merge(detail.isEmpty() ? event : event + ": " + detail, 1 + more, Integer::sum);
         return "";
     }
 
-    /** What makes up a digest of a list: the sum over its engines' rows. */
+    /** The text of one engine's row; the digest of a list is the sum of the digests of its rows. */
     public static String digestText(String engine, boolean up) {
         return engine + (up ? " up" : " draining");
     }
 
-    /** Of one row of {@link #digestText}. */
+    /** The digest of one row as {@link #digestText} returns it. */
     public static long digest(String row) {
         long hash = 1125899906842597L;
         for (int k = 0; k < row.length(); k++) {
@@ -252,61 +264,63 @@
         return hash;
     }
 
-    /** Over the list that it holds: equal lists have equal digests, whatever the order of their news. */
+    /** The digest of the current list of engines, which does not depend on the order of its events. */
     public long digest() {
-        return on.on(() -> digest);
+        return loop.call(() -> digest);
     }
 
-    /** When the journal's event of that number, or a later one, was in force here; 0 if none is yet. */
+    /** When this journal position or a later one took effect in this front; 0 if none has yet. */
     public long inForceAt(long number) {
-        return on.on(() -> inForce.stream().filter(seen -> seen[0] >= number).mapToLong(seen -> seen[1])
+        return loop.call(() -> effectiveTimes.stream().filter(seen -> seen[0] >= number)
+                .mapToLong(seen -> seen[1])
                 .findFirst().orElse(0));
     }
 
-    /** When it last sent something to the engine; 0 if never. */
+    /** When the front last sent a submission to the engine; 0 if never. */
     public long lastSentTo(String engine) {
-        return on.on(() -> sentAt.getOrDefault(engine, 0L));
+        return loop.call(() -> lastSentNanos.getOrDefault(engine, 0L));
     }
 
-    /** When it first sent something to the engine; 0 if never. */
+    /** When the front first sent a submission to the engine since it was listed; 0 if never. */
     public long firstSentTo(String engine) {
-        return on.on(() -> firstSentAt.getOrDefault(engine, 0L));
+        return loop.call(() -> firstSentNanos.getOrDefault(engine, 0L));
     }
 
-    /** How many lines of its log began so. */
+    /** Number of log lines that start with {@code start}; a line is an event, or {@code event: detail}. */
     public int logged(String start) {
-        return on.on(() -> logged.entrySet().stream().filter(line -> line.getKey().startsWith(start))
+        return loop.call(() -> logged.entrySet().stream().filter(line -> line.getKey().startsWith(start))
                 .mapToInt(Map.Entry::getValue).sum());
     }
 
-    /** Queries drawn, answered in whatever way, and ended well by their engine. */
+    /** The numbers of generated queries, of answers of any kind, and of submissions that finished. */
     public long[] queries() {
-        return on.on(() -> {
-            clients.forEach(this::take);
-            return new long[] {asked, answered, finished};
+        return loop.call(() -> {
+            clients.forEach(this::countAnswers);
+            return new long[] {generatedQueries, answers, finishedSubmissions};
         });
     }
 
     /**
-     * Reads another configuration by the program's own code, as SIGHUP does, on the thread that is given. One
-     * that is wanted before the last was begun takes its place, as the program reads what its file holds.
+     * Reloads the configuration with the program's own code, as SIGHUP does, on the given executor. A reload
+     * that is requested before the previous one has begun replaces it, as the program too reads the latest
+     * content of its file.
      */
     public void reload(Path config, Executor signals) {
-        if (reloading.getAndSet(config.toString()) == null) {
+        if (pendingReload.getAndSet(config.toString()) == null) {
             signals.execute(() -> {
-                String path = reloading.getAndSet(null);
-                if (!on.on(() -> ended)) {
-                    Startup.reload(on.loop, front, journal, path);
+                String path = pendingReload.getAndSet(null);
+                if (!loop.call(() -> closed)) {
+                    Startup.reload(loop.eventLoop, front, journal, path);
                 }
             });
         }
     }
 
-    /** As a process that is killed: nothing of it runs any more. Its socket ends with the other side's. */
+    /** Stops the front's timers, as a kill would. Its journal socket stays until the peer closes it. */
     @Override
     public void close() {
-        on.on(() -> {
-            ended = true;
+        loop.call(() -> {
+            closed = true;
             front.timers().stop();
             return null;
         });
--- a/src/rig/java/reedspring/rig/Bench.java
+++ b/src/rig/java/reedspring/rig/Bench.java
@@ -1,35 +1,39 @@
 package reedspring.rig;
 
 /**
- * What the mains behind the scripts in bench/ have in common: their arguments, last line and exit code.
- * {@code against} is another built checkout to play in turns with this one, or null.
+ * Arguments, result line and exit code of the main classes behind the scripts in bench/.
+ *
+ * @param seed of the random generators
+ * @param shortRun whether to do a short run
+ * @param against the directory of another built checkout, whose runs alternate with this one's, or null
  */
-record Bench(long seed, boolean shortly, String against) {
-    private static final int USAGE = 64;
+record Bench(long seed, boolean shortRun, String against) {
+    /** Exit code for wrong arguments, EX_USAGE of sysexits.h. */
+    private static final int EXIT_USAGE = 64;
 
     static Bench of(String[] args) {
         long seed = 1;
-        boolean shortly = false;
+        boolean shortRun = false;
         String against = null;
         for (int k = 0; k < args.length; k++) {
-            boolean more = k + 1 < args.length;
+            boolean hasValue = k + 1 < args.length;
             if (args[k].equals("--short")) {
-                shortly = true;
-            } else if (args[k].equals("--seed") && more && args[k + 1].matches("[0-9]{1,18}")) {
+                shortRun = true;
+            } else if (args[k].equals("--seed") && hasValue && args[k + 1].matches("[0-9]{1,18}")) {
                 seed = Long.parseLong(args[++k]);
-            } else if (args[k].equals("--against") && more) {
+            } else if (args[k].equals("--against") && hasValue) {
                 against = args[++k];
             } else {
                 System.err.println("usage: bench/NAME [--seed N] [--short] [--against DIR]");
-                System.exit(USAGE);
+                System.exit(EXIT_USAGE);
             }
         }
-        return new Bench(seed, shortly, against);
+        return new Bench(seed, shortRun, against);
     }
 
-    /** The figures as {@code name=value ...}; 0 only if the aims hold. */
-    void end(String figures, boolean holds) {
+    /** Prints the figures as {@code name=value ...} and exits, with 0 only if the targets are met. */
+    void printAndExit(String figures, boolean targetsMet) {
         System.out.println(figures);
-        System.exit(holds ? 0 : 1);
+        System.exit(targetsMet ? 0 : 1);
     }
 }
--- a/src/rig/java/reedspring/rig/ClassArchive.java
+++ b/src/rig/java/reedspring/rig/ClassArchive.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Part of the build: plays a short day round the program while the JVM notes the classes that it loads,
- * and leaves them as an archive from which a front starts in half the time. A front needs no archive,
- * so a machine on which this fails still has its build.
+ * Part of the build: runs the program under a short load while the JVM records the classes that it loads, and
+ * writes them to a class data sharing archive with which a front starts in half the time. A front works
+ * without the archive, so a failure here does not fail the build.
  */
 public final class ClassArchive {
     private ClassArchive() {
@@ -17,20 +17,20 @@
 
     public static void main(String[] args) throws Exception {
         try (JournalStandIn journal = new JournalStandIn();
-                EngineStandIn good = new EngineStandIn(EngineStandIn.pages(3));
-                EngineStandIn odd = new EngineStandIn(command -> command.answerRaw("+PONG\r\n"));
+                EngineStandIn engine = new EngineStandIn(EngineStandIn.pages(3));
+                EngineStandIn nonConforming = new EngineStandIn(command -> command.answerRaw("+PONG\r\n"));
                 Program program = new Program(Program.config(Program.freeAddress(), journal.address(),
-                        JournalStandIn.event(1, true, JournalStandIn.host("e0", good.address(), "ready"),
-                                JournalStandIn.host("e1", odd.address(), "ready"),
+                        JournalStandIn.event(1, true, JournalStandIn.host("e0", engine.address(), "ready"),
+                                JournalStandIn.host("e1", nonConforming.address(), "ready"),
                                 JournalStandIn.host("e2", Program.freeAddress(), "ready"))),
                         Path.of("."), List.of("/bin/sh", "-c", Program.runCommand(Path.of("."))
                                 .replace("-XX:SharedArchiveFile=", "-XX:ArchiveClassesAtExit=")));
                 Client client = program.ready().client()) {
-            Rig.await("the call", () -> !journal.calledFrom.isEmpty());
+            Rig.await("the journal request", () -> !journal.calledFrom.isEmpty());
             journal.send("id: 2\ndata: " + JournalStandIn.event(2, false,
-                    JournalStandIn.host("e1", odd.address(), "draining")) + "\n\n");
+                    JournalStandIn.host("e1", nonConforming.address(), "draining")) + "\n\n");
             client.send(Client.pack(List.of(0, 1, "heartbeat", List.of(Map.of())))).read();
-            // What a front does later must not be read from the jar either, least of all on half a core.
+            // Loads the classes of later operations too: reading them from the jar is slow on half a core.
             program.reload(Program.config(program.listen, journal.address()));
             client.send(Client.pack(List.of(0, 1, "stroll", List.of(Map.of(), new byte[0])))).read();
             client.send(Client.query(1, Client.trace(), 1, "too late")).read();
@@ -39,7 +39,8 @@
                 client.send(Client.query(id, Client.trace(), 2000, statement)).read();
             }
             program.process.toHandle().destroy();
-            Rig.require(program.process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS), "the front stays");
+            Rig.require(program.process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS),
+                    "the front did not exit after SIGTERM");
         } catch (IOException | AssertionError e) {
             System.err.println("no class archive: " + e);
         }
--- a/src/rig/java/reedspring/rig/EngineStandIn.java
+++ b/src/rig/java/reedspring/rig/EngineStandIn.java
@@ -73,7 +73,8 @@
     }
 
     /** Listens on {@code port}; {@code closeListener} gets each connection that the peer has closed. */
-    public EngineStandIn(int port, Consumer<Command> commandHandler, Consumer<Socket> closeListener) throws IOException {
+    public EngineStandIn(int port, Consumer<Command> commandHandler, Consumer<Socket> closeListener)
+            throws IOException {
         super(port);
         this.commandHandler = commandHandler;
         this.closeListener = closeListener;
--- a/src/rig/java/reedspring/rig/JournalStandIn.java
+++ b/src/rig/java/reedspring/rig/JournalStandIn.java
@@ -39,7 +39,8 @@
                 StandardCharsets.US_ASCII));
         String lastEventId = "";
         for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-            lastEventId = line.toLowerCase().startsWith("last-event-id:") ? line.substring(14).trim() : lastEventId;
+            lastEventId = line.toLowerCase().startsWith("last-event-id:") ? line.substring(14).trim()
+                    : lastEventId;
         }
         pause(answersAfterMs);
         peer.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n"
@@ -47,7 +48,8 @@
         synchronized (events) {
             calledFrom.add(lastEventId);
             calledAt.add(System.nanoTime());
-            for (int pos = lastEventId.isEmpty() ? 0 : Integer.parseInt(lastEventId); pos < events.size(); pos++) {
+            for (int pos = lastEventId.isEmpty() ? 0 : Integer.parseInt(lastEventId); pos < events.size();
+                    pos++) {
                 peer.getOutputStream().write(events.get(pos).getBytes(StandardCharsets.UTF_8));
             }
         }
--- a/src/rig/java/reedspring/rig/MemoryDisk.java
+++ b/src/rig/java/reedspring/rig/MemoryDisk.java
@@ -136,7 +136,7 @@
 
     private void failRandomly(String operation) throws IOException {
         if (faults > 0 && random.nextDouble() < faults) {
-            throw new IOException("simulated fault: " + operation + " failed");
+            throw new IOException(operation + " failed");
         }
     }
 
@@ -187,7 +187,8 @@
 
             private void append(byte[] more) {
                 if (created.size + more.length > created.bytes.length) {
-                    created.bytes = Arrays.copyOf(created.bytes, Math.max(4096, 2 * (created.size + more.length)));
+                    created.bytes = Arrays.copyOf(created.bytes,
+                            Math.max(4096, 2 * (created.size + more.length)));
                 }
                 System.arraycopy(more, 0, created.bytes, created.size, more.length);
                 created.size += more.length;
--- a/src/rig/java/reedspring/rig/Program.java
+++ b/src/rig/java/reedspring/rig/Program.java
@@ -55,14 +55,16 @@
 
     /** Starts the build of another checkout with the fault shim loaded. */
     public static Program withShim(String config, FaultShim shim, Path home) throws IOException {
-        return new Program(listenAddress(config), writeConfig(Files.createTempFile("reedspring", ".json"), config),
+        return new Program(listenAddress(config),
+                writeConfig(Files.createTempFile("reedspring", ".json"), config),
                 home,
                 List.of("/bin/sh", "-c", runCommand(home)), shim::loadInto);
     }
 
     /** Starts a front with a settings file and with the fault shim loaded. */
     public static Program with(String config, Path settings, FaultShim shim) throws IOException {
-        return new Program(listenAddress(config), writeConfig(Files.createTempFile("reedspring", ".json"), config),
+        return new Program(listenAddress(config),
+                writeConfig(Files.createTempFile("reedspring", ".json"), config),
                 Path.of("."), List.of("/bin/sh", "-c", runCommand(Path.of(".")) + " --settings " + settings),
                 shim::loadInto);
     }
@@ -250,6 +252,6 @@
                 // the port is in use; try the next one
             }
         }
-        throw new IOException("no free port in the " + PORTS_PER_LANE + " ports from " + FIRST_PORT);
+        throw new IOException("no free port from " + FIRST_PORT);
     }
 }
--- a/src/rig/java/reedspring/rig/Server.java
+++ b/src/rig/java/reedspring/rig/Server.java
@@ -22,7 +22,7 @@
         startAccepting();
     }
 
-    /** Creates a server that accepts no connection before {@link #accept}. */
+    /** Creates a server that accepts no connection before {@link #startAccepting}. */
     Server(ServerSocket socket) {
         this.socket = socket;
     }
--- a/src/rig/java/reedspring/rig/Starts.java
+++ b/src/rig/java/reedspring/rig/Starts.java
@@ -15,28 +15,37 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What a started front costs in CPU: until it serves, in its first 5 s under 110 queries a second, and after
- * them, by thread. With another checkout that is built, in turns with it: bench/start [--against DIR].
+ * The benchmark bench/start [--against DIR]. Measures a front's CPU time by thread: until it serves, in its
+ * first 5 s under 110 queries a second, and after those. With the build of another checkout, runs of the two
+ * alternate.
  */
 public final class Starts {
     private static final int ENGINES = 5;
     private static final int CONNECTIONS = 12;
-    private static final long EACH_MICROS = 1_000_000 / 110;
-    private static final long FIRST_MS = 5_000;
-    private static final long LATER_MS = 3_000;
-    /** Of the kernel's clock ticks for user programs, the same on every Linux. */
-    private static final double TICKS_A_SECOND = 100;
-    /** Of the other checkout's figure: what one run differs from the next by chance. */
-    private static final double AT_MOST = 1.1;
+    private static final long QUERY_INTERVAL_MICROS = 1_000_000 / 110;
+    private static final long FIRST_PHASE_MS = 5_000;
+    private static final long LATER_PHASE_MS = 3_000;
+    /** USER_HZ, the unit of CPU times under /proc, the same on every Linux. */
+    private static final double USER_HZ = 100;
+    /** Maximum ratio to the other checkout's figure; runs of the same code vary by as much. */
+    private static final double MAX_RATIO = 1.1;
 
     private Starts() {
     }
 
-    /** Seconds of CPU: until it serves, until 5 s after that, and a second from then on. */
-    private record Cost(double ready, double first, double second, Map<String, Double> firstByThread) {
+    /**
+     * CPU seconds of one run.
+     *
+     * @param readySeconds used until the front served
+     * @param firstPhaseSeconds used in the next 5 s
+     * @param laterSecondsPerSecond used per second after that
+     * @param firstPhaseByThread {@code firstPhaseSeconds} by thread name
+     */
+    private record Cost(double readySeconds, double firstPhaseSeconds, double laterSecondsPerSecond,
+            Map<String, Double> firstPhaseByThread) {
     }
 
-    private static Cost one(Path home) throws Exception {
+    private static Cost measureStart(Path home) throws Exception {
         ScheduledExecutorService load = Executors.newScheduledThreadPool(2);
         try (JournalStandIn journal = new JournalStandIn()) {
             List<EngineStandIn> engines = new ArrayList<>();
@@ -50,7 +59,7 @@
             load.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
             try (Program front = new Program(Program.config(Program.freeAddress(), journal.address(),
                     JournalStandIn.event(1, true, hosts)), home).ready()) {
-                Map<String, Double> atReady = cpu(front.process.pid());
+                Map<String, Double> atReady = cpuSecondsByThread(front.process.pid());
                 long[] sent = new long[1];
                 List<Client> clients = new ArrayList<>();
                 for (int k = 0; k < CONNECTIONS; k++) {
@@ -70,15 +79,15 @@
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
-                }, 0, EACH_MICROS, TimeUnit.MICROSECONDS);
-                Thread.sleep(FIRST_MS);
-                Map<String, Double> atFirst = cpu(front.process.pid());
-                Thread.sleep(LATER_MS);
-                Map<String, Double> atLater = cpu(front.process.pid());
+                }, 0, QUERY_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
+                Thread.sleep(FIRST_PHASE_MS);
+                Map<String, Double> atFirst = cpuSecondsByThread(front.process.pid());
+                Thread.sleep(LATER_PHASE_MS);
+                Map<String, Double> atLater = cpuSecondsByThread(front.process.pid());
                 Map<String, Double> byThread = new TreeMap<>();
                 atFirst.forEach((name, s) -> byThread.put(name, s - atReady.getOrDefault(name, 0.0)));
                 return new Cost(sum(atReady), sum(byThread),
-                        (sum(atLater) - sum(atFirst)) * 1000 / LATER_MS, byThread);
+                        (sum(atLater) - sum(atFirst)) * 1000 / LATER_PHASE_MS, byThread);
             } finally {
                 for (EngineStandIn engine : engines) {
                     engine.close();
@@ -93,24 +102,24 @@
         return threads.values().stream().mapToDouble(s -> s).sum();
     }
 
-    /** Seconds by thread; what threads that have ended took is under "ended". */
-    private static Map<String, Double> cpu(long pid) throws IOException {
+    /** CPU seconds by thread name, those of exited threads under "ended". */
+    private static Map<String, Double> cpuSecondsByThread(long pid) throws IOException {
         Map<String, Double> threads = new HashMap<>();
         try (var tasks = Files.list(Path.of("/proc", Long.toString(pid), "task"))) {
             for (Path task : tasks.toList()) {
                 String stat = Files.readString(task.resolve("stat"));
-                threads.merge(stat.substring(stat.indexOf('(') + 1, stat.lastIndexOf(')')), ticks(stat),
+                threads.merge(stat.substring(stat.indexOf('(') + 1, stat.lastIndexOf(')')), cpuSeconds(stat),
                         Double::sum);
             }
         }
-        double all = ticks(Files.readString(Path.of("/proc", Long.toString(pid), "stat")));
+        double all = cpuSeconds(Files.readString(Path.of("/proc", Long.toString(pid), "stat")));
         threads.put("ended", Math.max(0, all - sum(threads)));
         return threads;
     }
 
-    private static double ticks(String stat) {
+    private static double cpuSeconds(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / TICKS_A_SECOND;
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / USER_HZ;
     }
 
     private static double median(List<Cost> costs, ToDoubleFunction<Cost> figure) {
@@ -126,28 +135,31 @@
             homes.put("other", Path.of(bench.against()));
         }
         Map<String, List<Cost>> costs = new LinkedHashMap<>();
-        for (int round = 0; round < (bench.shortly() ? 1 : 7); round++) {
+        for (int round = 0; round < (bench.shortRun() ? 1 : 7); round++) {
             for (Map.Entry<String, Path> home : homes.entrySet()) {
-                costs.computeIfAbsent(home.getKey(), k -> new ArrayList<>()).add(one(home.getValue()));
+                costs.computeIfAbsent(home.getKey(), k -> new ArrayList<>())
+                        .add(measureStart(home.getValue()));
             }
         }
         StringBuilder line = new StringBuilder();
         costs.forEach((name, runs) -> {
             Map<String, Double> threads = new TreeMap<>();
-            runs.forEach(run -> run.firstByThread.forEach(
+            runs.forEach(run -> run.firstPhaseByThread.forEach(
                     (thread, s) -> threads.merge(thread, s / runs.size(), Double::sum)));
             System.err.println(name + ", seconds of CPU in the first 5 s by thread:");
             threads.entrySet().stream().sorted(Map.Entry.<String, Double>comparingByValue().reversed())
                     .limit(8).forEach(e -> System.err.printf("  %-20s %.2f%n", e.getKey(), e.getValue()));
             line.append(String.format("%s_ready_s=%.2f %s_first5_s=%.2f %s_later_s=%.3f ", name,
-                    median(runs, Cost::ready), name, median(runs, Cost::first), name,
-                    median(runs, Cost::second)));
+                    median(runs, Cost::readySeconds), name, median(runs, Cost::firstPhaseSeconds), name,
+                    median(runs, Cost::laterSecondsPerSecond)));
         });
-        bench.end(line.toString().trim(), !costs.containsKey("other") || notMore(costs, Cost::ready)
-                && notMore(costs, Cost::first) && notMore(costs, Cost::second));
+        bench.printAndExit(line.toString().trim(), !costs.containsKey("other")
+                || withinMaxRatio(costs, Cost::readySeconds)
+                && withinMaxRatio(costs, Cost::firstPhaseSeconds)
+                && withinMaxRatio(costs, Cost::laterSecondsPerSecond));
     }
 
-    private static boolean notMore(Map<String, List<Cost>> costs, ToDoubleFunction<Cost> figure) {
-        return median(costs.get("this"), figure) <= AT_MOST * median(costs.get("other"), figure);
+    private static boolean withinMaxRatio(Map<String, List<Cost>> costs, ToDoubleFunction<Cost> figure) {
+        return median(costs.get("this"), figure) <= MAX_RATIO * median(costs.get("other"), figure);
     }
 }
--- a/src/rig/java/reedspring/rig/Stops.java
+++ b/src/rig/java/reedspring/rig/Stops.java
@@ -14,32 +14,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays started fronts that are stopped and continued in a seeded pattern, 40 to 900 ms each time, while
- * engines drain and clients ask, and checks the rules on drains and on answers: bench/stops.
+ * The benchmark bench/stops. Fronts are suspended and continued (SIGSTOP, SIGCONT) in a seeded pattern, 40 to
+ * 900 ms each time, while engines drain and clients send queries. It checks that no submission reaches an
+ * engine too long after its drain notice, and that each query gets one answer in time.
  */
 public final class Stops {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
     private static final int ENGINES = 5;
     private static final int CONNECTIONS = 12;
-    private static final int PATIENCE_MS = 3_000;
-    /** The rule's half second and what the sockets add. */
-    private static final long DRAIN_MS = 550;
-    /** Of an answer past its time, or past the end of the stop that its time fell into. */
-    private static final long LATE_MS = 250;
+    private static final int QUERY_PATIENCE_MS = 3_000;
+    /** How long after a drain notice submissions may arrive: the rule's 500 ms and the latency of sockets. */
+    private static final long MAX_SEND_AFTER_DRAIN_MS = 550;
+    /** Tolerance for an answer past its deadline, or past the end of the suspension that contained it. */
+    private static final long ANSWER_TOLERANCE_MS = 250;
 
-    private final SplittableRandom chance;
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(2);
+    private final SplittableRandom random;
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(2);
     private final List<Drain> drains = new ArrayList<>();
-    private final List<long[]> stops = new ArrayList<>();
-    private final List<Asker> askers = new ArrayList<>();
-    private final List<EngineStandIn> opened = new ArrayList<>();
+    private final List<long[]> suspensions = new ArrayList<>();
+    private final List<LoadClient> loadClients = new ArrayList<>();
+    private final List<EngineStandIn> startedEngines = new ArrayList<>();
     private JournalStandIn journal;
     private Program front;
 
-    private record Drain(EngineStandIn engine, long toldAt) {
+    private record Drain(EngineStandIn engine, long noticeSentNanos) {
     }
 
-    /** Counts over one or several fronts; {@code worstMs} is the latest submission after a notice. */
+    /**
+     * Counts over one or several fronts.
+     *
+     * @param worstMs the longest time from a drain notice to the arrival of a submission
+     */
     public record Tally(int drains, int stops, int queries, int served, int deferred, int failed,
                         int unanswered, int twice, int late, int breaches, long worstMs) {
         Tally plus(Tally t) {
@@ -61,10 +66,10 @@
     }
 
     private Stops(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
-    /** One front and that many drains, about a second each. */
+    /** Runs one front through {@code drains} drains, about a second each. */
     public static Tally play(long seed, int drains) throws Exception {
         return new Stops(seed).run(drains);
     }
@@ -76,147 +81,151 @@
             String[] names = new String[ENGINES];
             String[] hosts = new String[ENGINES];
             for (int k = 0; k < ENGINES; k++) {
-                fleet[k] = engine();
+                fleet[k] = startEngine();
                 names[k] = "e" + k;
                 hosts[k] = host(names[k], fleet[k].address(), "ready");
             }
             journal.tell(true, hosts);
             front = new Program(Program.config(Program.freeAddress(), journal.address(),
                     JournalStandIn.event(1, true, hosts))).ready();
-            later.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
+            scheduler.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
             for (int k = 0; k < CONNECTIONS; k++) {
-                askers.add(new Asker(front.client()));
+                loadClients.add(new LoadClient(front.client()));
             }
-            SplittableRandom asking = chance.split();
-            var load = later.scheduleAtFixedRate(() -> askers.get(asking.nextInt(CONNECTIONS)).ask(), 50, 9,
+            SplittableRandom clientChoice = random.split();
+            var load = scheduler.scheduleAtFixedRate(
+                    () -> loadClients.get(clientChoice.nextInt(CONNECTIONS)).sendQuery(), 50, 9,
                     TimeUnit.MILLISECONDS);
             for (int k = 0; k < count; k++) {
-                int at = chance.nextInt(ENGINES);
-                drainAroundAStop(names[at], fleet[at]);
-                String gone = host(names[at], fleet[at].address(), "gone");
-                fleet[at] = engine();
-                names[at] = "e" + (ENGINES + k);
-                journal.tell(false, gone, host(names[at], fleet[at].address(), "ready"));
+                int drained = random.nextInt(ENGINES);
+                drainAroundSuspension(names[drained], fleet[drained]);
+                String gone = host(names[drained], fleet[drained].address(), "gone");
+                fleet[drained] = startEngine();
+                names[drained] = "e" + (ENGINES + k);
+                journal.tell(false, gone, host(names[drained], fleet[drained].address(), "ready"));
             }
             load.cancel(false);
-            Thread.sleep(PATIENCE_MS + 2 * LATE_MS);
+            Thread.sleep(QUERY_PATIENCE_MS + 2 * ANSWER_TOLERANCE_MS);
             return tally();
         } finally {
-            later.shutdownNow();
+            scheduler.shutdownNow();
             if (front != null) {
                 front.close();
             }
-            for (EngineStandIn engine : opened) {
+            for (EngineStandIn engine : startedEngines) {
                 engine.close();
             }
             journal.close();
         }
     }
 
-    private EngineStandIn engine() throws IOException {
-        SplittableRandom own = chance.split();
+    private EngineStandIn startEngine() throws IOException {
+        SplittableRandom serviceTimes = random.split();
         EngineStandIn engine = new EngineStandIn(command -> {
-            long takes;
-            synchronized (own) {
-                takes = 5 + own.nextInt(75);
+            long serviceMs;
+            synchronized (serviceTimes) {
+                serviceMs = 5 + serviceTimes.nextInt(75);
             }
-            later.schedule(() -> EngineStandIn.pages(1).accept(command), takes, TimeUnit.MILLISECONDS);
+            scheduler.schedule(() -> EngineStandIn.pages(1).accept(command), serviceMs,
+                    TimeUnit.MILLISECONDS);
         });
-        opened.add(engine);
+        startedEngines.add(engine);
         return engine;
     }
 
-    /** Mostly the notice comes while the front stands still, else right after it goes on. */
-    private void drainAroundAStop(String name, EngineStandIn engine) throws Exception {
-        Thread.sleep(60 + chance.nextInt(300));
-        long length = 40 + chance.nextInt(860);
-        boolean within = chance.nextInt(4) > 0;
-        long before = within ? chance.nextLong(length / 2) : length;
+    /** Suspends the front and sends a drain notice: in 3 of 4 cases while suspended, else just after. */
+    private void drainAroundSuspension(String name, EngineStandIn engine) throws Exception {
+        Thread.sleep(60 + random.nextInt(300));
+        long suspensionMs = 40 + random.nextInt(860);
+        boolean duringSuspension = random.nextInt(4) > 0;
+        long beforeNoticeMs = duringSuspension ? random.nextLong(suspensionMs / 2) : suspensionMs;
         front.signal("-STOP");
-        long from = System.nanoTime();
-        Thread.sleep(before);
-        if (within) {
-            drain(name, engine);
-            Thread.sleep(length - before);
+        long suspendedNanos = System.nanoTime();
+        Thread.sleep(beforeNoticeMs);
+        if (duringSuspension) {
+            sendDrainNotice(name, engine);
+            Thread.sleep(suspensionMs - beforeNoticeMs);
         }
         front.signal("-CONT");
-        stops.add(new long[] {from, System.nanoTime()});
-        if (!within) {
-            Thread.sleep(chance.nextInt(20));
-            drain(name, engine);
+        suspensions.add(new long[] {suspendedNanos, System.nanoTime()});
+        if (!duringSuspension) {
+            Thread.sleep(random.nextInt(20));
+            sendDrainNotice(name, engine);
         }
-        long since = (System.nanoTime() - drains.get(drains.size() - 1).toldAt) / MS;
-        Thread.sleep(Math.max(0, DRAIN_MS + 150 - since));
+        long sinceNoticeMs =
+                (System.nanoTime() - drains.get(drains.size() - 1).noticeSentNanos) / NANOS_PER_MS;
+        Thread.sleep(Math.max(0, MAX_SEND_AFTER_DRAIN_MS + 150 - sinceNoticeMs));
     }
 
-    private void drain(String name, EngineStandIn engine) {
+    private void sendDrainNotice(String name, EngineStandIn engine) {
         journal.tell(false, host(name, engine.address(), "draining"));
         drains.add(new Drain(engine, System.nanoTime()));
     }
 
     private Tally tally() {
         int breaches = 0;
-        long worst = 0;
+        long worstMs = 0;
         for (Drain drain : drains) {
             for (EngineStandIn.Command sent : drain.engine.seen("fetch")) {
-                long after = (sent.at() - drain.toldAt) / MS;
-                worst = Math.max(worst, after);
-                breaches += after > DRAIN_MS ? 1 : 0;
+                long afterNoticeMs = (sent.at() - drain.noticeSentNanos) / NANOS_PER_MS;
+                worstMs = Math.max(worstMs, afterNoticeMs);
+                breaches += afterNoticeMs > MAX_SEND_AFTER_DRAIN_MS ? 1 : 0;
             }
         }
-        Tally sum = new Tally(drains.size(), stops.size(), 0, 0, 0, 0, 0, 0, 0, breaches, worst);
-        for (Asker asker : askers) {
+        Tally sum = new Tally(drains.size(), suspensions.size(), 0, 0, 0, 0, 0, 0, 0, breaches, worstMs);
+        for (LoadClient asker : loadClients) {
             sum = sum.plus(asker.tally());
         }
         return sum;
     }
 
-    /** The moment by which an answer that is due then has to be there, as the front was stopped meanwhile. */
-    private long atTheLatest(long due) {
-        long latest = due;
-        for (long[] stop : stops) {
-            if (stop[0] <= due + LATE_MS * MS && stop[1] >= due - LATE_MS * MS) {
-                latest = Math.max(latest, stop[1]);
+    /** The latest permitted arrival of an answer with this deadline, given the suspensions around it. */
+    private long latestAllowed(long deadline) {
+        long latest = deadline;
+        for (long[] suspension : suspensions) {
+            if (suspension[0] <= deadline + ANSWER_TOLERANCE_MS * NANOS_PER_MS
+                    && suspension[1] >= deadline - ANSWER_TOLERANCE_MS * NANOS_PER_MS) {
+                latest = Math.max(latest, suspension[1]);
             }
         }
-        return latest + LATE_MS * MS;
+        return latest + ANSWER_TOLERANCE_MS * NANOS_PER_MS;
     }
 
-    /** One connection, its queries by number and what came for them. */
-    private final class Asker {
+    /** One client connection with its queries by id and the counts of their answers. */
+    private final class LoadClient {
         private final Client client;
-        private final Map<Long, Long> sentAt = new ConcurrentHashMap<>();
-        private final Map<Long, Long> answeredAt = new ConcurrentHashMap<>();
-        private int ids;
+        private final Map<Long, Long> sentNanos = new ConcurrentHashMap<>();
+        private final Map<Long, Long> answeredNanos = new ConcurrentHashMap<>();
+        private int lastId;
         private volatile int served;
         private volatile int deferred;
         private volatile int failed;
         private volatile int twice;
 
-        Asker(Client client) {
+        LoadClient(Client client) {
             this.client = client;
-            CompletableFuture.runAsync(this::read, task -> {
+            CompletableFuture.runAsync(this::readAnswers, task -> {
                 Thread thread = new Thread(task);
                 thread.setDaemon(true);
                 thread.start();
             });
         }
 
-        void ask() {
+        void sendQuery() {
             try {
-                long id = ++ids;
-                sentAt.put(id, System.nanoTime());
-                client.send(Client.query((int) id, Client.trace(), PATIENCE_MS, "select"));
+                long id = ++lastId;
+                sentNanos.put(id, System.nanoTime());
+                client.send(Client.query((int) id, Client.trace(), QUERY_PATIENCE_MS, "select"));
             } catch (IOException e) {
-                // no answer comes, which the tally shows
+                // the query counts as unanswered
             }
         }
 
-        private void read() {
+        private void readAnswers() {
             try {
                 while (true) {
                     List<?> answer = client.read();
-                    if (answeredAt.put((Long) answer.get(1), System.nanoTime()) != null) {
+                    if (answeredNanos.put((Long) answer.get(1), System.nanoTime()) != null) {
                         twice++;
                     }
                     served += Client.rows(answer) != null ? 1 : 0;
@@ -224,32 +233,33 @@
                     failed += "Fault".equals(Client.error(answer)) ? 1 : 0;
                 }
             } catch (IOException e) {
-                // the front has gone
+                // the front has closed the connection
             }
         }
 
         private Tally tally() {
             int unanswered = 0;
             int late = 0;
-            for (Map.Entry<Long, Long> sent : sentAt.entrySet()) {
-                Long answered = answeredAt.get(sent.getKey());
+            for (Map.Entry<Long, Long> sent : sentNanos.entrySet()) {
+                Long answered = answeredNanos.get(sent.getKey());
                 unanswered += answered == null ? 1 : 0;
                 late += answered != null
-                        && answered > atTheLatest(sent.getValue() + PATIENCE_MS * MS) ? 1 : 0;
+                        && answered > latestAllowed(sent.getValue() + QUERY_PATIENCE_MS * NANOS_PER_MS)
+                        ? 1 : 0;
             }
-            return new Tally(0, 0, sentAt.size(), served, deferred, failed, unanswered, twice, late, 0, 0);
+            return new Tally(0, 0, sentNanos.size(), served, deferred, failed, unanswered, twice, late, 0, 0);
         }
     }
 
-    /** {@code [--seed N] [--short]}: four fronts beside each other, 200 drains, or 20 on two. */
+    /** {@code [--seed N] [--short]}: 200 drains on four parallel fronts, or with --short 20 on two. */
     public static void main(String[] args) throws Exception {
         Bench bench = Bench.of(args);
-        int fronts = bench.shortly() ? 2 : 4;
-        int drains = bench.shortly() ? 10 : 50;
-        List<CompletableFuture<Tally>> plays = new ArrayList<>();
+        int fronts = bench.shortRun() ? 2 : 4;
+        int drains = bench.shortRun() ? 10 : 50;
+        List<CompletableFuture<Tally>> results = new ArrayList<>();
         for (int k = 0; k < fronts; k++) {
             long seed = bench.seed() + k;
-            plays.add(CompletableFuture.supplyAsync(() -> {
+            results.add(CompletableFuture.supplyAsync(() -> {
                 try {
                     Tally tally = play(seed, drains);
                     System.err.println("seed " + seed + ": " + tally);
@@ -259,10 +269,10 @@
                 }
             }, task -> new Thread(task).start()));
         }
-        Tally sum = plays.get(0).get();
-        for (CompletableFuture<Tally> play : plays.subList(1, fronts)) {
-            sum = sum.plus(play.get());
+        Tally sum = results.get(0).get();
+        for (CompletableFuture<Tally> result : results.subList(1, fronts)) {
+            sum = sum.plus(result.get());
         }
-        bench.end(sum.toString(), sum.holds());
+        bench.printAndExit(sum.toString(), sum.holds());
     }
 }
