--- a/src/rig/c/faultshim.c
+++ b/src/rig/c/faultshim.c
@@ -1,11 +1,11 @@
 /*
- * faultshim: makes system calls of one process fail, shortens them or shifts its clock, for fault injection in
- * tests on loopback.
+ * faultshim: makes system calls of one process fail, shortens them or shifts its clock, for fault injection
+ * in tests on loopback.
  *
  * Loaded with LD_PRELOAD. The environment variable FAULT_SHIM names a file of FIELDS 64-bit integers in the
- * machine's byte order, which the test maps and changes while the process runs; 0 disables a fault. The layout
- * is that of reedspring.rig.FaultShim. Failing calls are chosen by count, so a run is repeatable as far as the
- * process is deterministic.
+ * machine's byte order, which the test maps and changes while the process runs; 0 disables a fault. The
+ * layout is that of reedspring.rig.FaultShim. Failing calls are chosen by count, so a run is repeatable as
+ * far as the process is deterministic.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -248,7 +248,8 @@
     mode_t mode = flags & O_CREAT ? va_arg(arguments, mode_t) : 0;
     va_end(arguments);
     const char *config = getenv("RELAY_CONFIG");
-    if (config != NULL && strcmp(config, path) == 0 && take_failure(CONFIG_OPENS, config_errors, LENGTH(config_errors)))
+    if (config != NULL && strcmp(config, path) == 0
+            && take_failure(CONFIG_OPENS, config_errors, LENGTH(config_errors)))
         return -1;
     int64_t error = field(OPEN_ERRNO);
     if (error != 0 && (flags & O_ACCMODE) == O_RDONLY) {
--- a/src/rig/java/reedspring/rig/EngineStandIn.java
+++ b/src/rig/java/reedspring/rig/EngineStandIn.java
@@ -45,7 +45,7 @@
                     from.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
                 }
             } catch (IOException e) {
-                // the front has closed the connection, which tests observe through Server.left
+                // the front has closed the connection, which tests observe on the server
             }
         }
 
--- a/src/rig/java/reedspring/rig/JournalStandIn.java
+++ b/src/rig/java/reedspring/rig/JournalStandIn.java
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Waits for the end of the stream and returns whether the caller closed request number {@code call}. */
+    /** Waits for the end of the stream and returns whether the caller closed {@code request}. */
     public boolean ended(int request) throws IOException {
         accepted.get(request).setSoTimeout((int) Rig.PATIENCE_S * 1000);
         return accepted.get(request).getInputStream().read() < 0;
--- a/src/rig/java/reedspring/rig/Keeps.java
+++ b/src/rig/java/reedspring/rig/Keeps.java
@@ -105,8 +105,7 @@
 
     private static byte[] page(int id, String handle, int page) {
         return Client.pack(List.of(0, id, "page", List.of(Map.of("handle", handle, "customer", "acme",
-                "sheet",
-                Integer.toString(page)))));
+                "sheet", Integer.toString(page)))));
     }
 
     private static String handle(List<?> answer) {
@@ -117,6 +116,14 @@
 
     // ---- slow clients compared with fast ones
 
+    /**
+     * The result of one run; its names are printed.
+     *
+     * @param busyS the engine's busy time in seconds
+     * @param p99Ms the 99th percentile of the latency of small queries
+     * @param memoryKb the front's peak resident memory
+     * @param wrong the number of wrong pages
+     */
     private record Pace(double busyS, double p99Ms, long memoryKb, int wrong) {
     }
 
@@ -187,6 +194,15 @@
 
     // ---- kills
 
+    /**
+     * The result of the runs with kills; its names are printed.
+     *
+     * @param kept the number of answers that had a handle
+     * @param lost the number of their pages that were gone after the kill
+     * @param wrong the number of their pages that had other rows
+     * @param twice the number of answers to a request that was answered already
+     * @param silent the number of clients that did not notice the kill within 5 s
+     */
     private record Toll(int kills, int kept, int lost, int wrong, int twice, int silent) {
     }
 
--- a/src/rig/java/reedspring/rig/Stops.java
+++ b/src/rig/java/reedspring/rig/Stops.java
@@ -173,8 +173,8 @@
             }
         }
         Tally sum = new Tally(drains.size(), suspensions.size(), 0, 0, 0, 0, 0, 0, 0, breaches, worstMs);
-        for (LoadClient asker : loadClients) {
-            sum = sum.plus(asker.tally());
+        for (LoadClient client : loadClients) {
+            sum = sum.plus(client.tally());
         }
         return sum;
     }
