--- a/src/rig/java/reedspring/rig/Program.java
+++ b/src/rig/java/reedspring/rig/Program.java
@@ -55,7 +55,7 @@
 
     /** Starts the build of another checkout with the fault shim loaded. */
     public static Program withShim(String config, FaultShim shim, Path home) throws IOException {
-        return new Program(listenAddress(config),
+        return new Program(parseListenAddress(config),
                 writeConfig(Files.createTempFile("reedspring", ".json"), config),
                 home,
                 List.of("/bin/sh", "-c", runCommand(home)), shim::loadInto);
@@ -63,7 +63,7 @@
 
     /** Starts a front with a settings file and with the fault shim loaded. */
     public static Program with(String config, Path settings, FaultShim shim) throws IOException {
-        return new Program(listenAddress(config),
+        return new Program(parseListenAddress(config),
                 writeConfig(Files.createTempFile("reedspring", ".json"), config),
                 Path.of("."), List.of("/bin/sh", "-c", runCommand(Path.of(".")) + " --settings " + settings),
                 shim::loadInto);
@@ -121,10 +121,10 @@
     }
 
     Program(String config, Path home, List<String> command) throws IOException {
-        this(listenAddress(config), Files.createTempFile("reedspring", ".json"), home, command, config);
+        this(parseListenAddress(config), Files.createTempFile("reedspring", ".json"), home, command, config);
     }
 
-    private static String listenAddress(String config) {
+    private static String parseListenAddress(String config) {
         return config.replaceAll(".*\"listen\":\"([^\"]*)\".*", "$1");
     }
 
