--- a/src/rig/java/reedspring/rig/ClassArchive.java
+++ b/src/rig/java/reedspring/rig/ClassArchive.java
@@ -19,19 +19,19 @@
         try (JournalStandIn journal = new JournalStandIn();
                 EngineStandIn engine = new EngineStandIn(EngineStandIn.pages(3));
                 EngineStandIn nonConforming = new EngineStandIn(command -> command.answerRaw("+PONG\r\n"));
-                Program program = new Program(Program.config(Program.freeAddress(), journal.address(),
+                Program program = new Program(Program.configJson(Program.freeAddress(), journal.address(),
                         JournalStandIn.event(1, true, JournalStandIn.host("e0", engine.address(), "ready"),
                                 JournalStandIn.host("e1", nonConforming.address(), "ready"),
                                 JournalStandIn.host("e2", Program.freeAddress(), "ready"))),
                         Path.of("."), List.of("/bin/sh", "-c", Program.runCommand(Path.of("."))
                                 .replace("-XX:SharedArchiveFile=", "-XX:ArchiveClassesAtExit=")));
-                Client client = program.ready().client()) {
+                Client client = program.awaitReady().connectClient()) {
             Rig.await("the journal request", () -> !journal.calledFrom.isEmpty());
             journal.send("id: 2\ndata: " + JournalStandIn.event(2, false,
                     JournalStandIn.host("e1", nonConforming.address(), "draining")) + "\n\n");
             client.send(Client.pack(List.of(0, 1, "heartbeat", List.of(Map.of())))).read();
             // Loads the classes of later operations too: reading them from the jar is slow on half a core.
-            program.reload(Program.config(program.listen, journal.address()));
+            program.reload(Program.configJson(program.listenAddress, journal.address()));
             client.send(Client.pack(List.of(0, 1, "stroll", List.of(Map.of(), new byte[0])))).read();
             client.send(Client.query(1, Client.trace(), 1, "too late")).read();
             String statement = "select 'a' from sales_17.orders -- b";
--- a/src/rig/java/reedspring/rig/Client.java
+++ b/src/rig/java/reedspring/rig/Client.java
@@ -134,7 +134,7 @@
     }
 
     /** Whether the front has closed the connection with no unread bytes before the end of the stream. */
-    public boolean ended() throws IOException {
+    public boolean closedByFront() throws IOException {
         try {
             return in.read() < 0;
         } catch (SocketException e) {
--- a/src/rig/java/reedspring/rig/Keeps.java
+++ b/src/rig/java/reedspring/rig/Keeps.java
@@ -67,13 +67,14 @@
     }
 
     private void start() throws Exception {
-        front = Program.with(Program.config(listen, journal.address(),
-                event(1, true, host("e0", engine.address(), "ready"))), directory.resolve("own.ini")).ready();
+        front = Program.withSettings(Program.configJson(listen, journal.address(),
+                event(1, true, host("e0", engine.address(), "ready"))), directory.resolve("own.ini"))
+                .awaitReady();
         Rig.await("the recovery of the spool", () -> front.logged("answers found"));
     }
 
     private void kill() throws Exception {
-        front.signal("-KILL");
+        front.sendSignal("-KILL");
         Rig.require(front.process.waitFor(20, TimeUnit.SECONDS), "the front did not exit after SIGKILL");
     }
 
--- a/src/rig/java/reedspring/rig/Program.java
+++ b/src/rig/java/reedspring/rig/Program.java
@@ -24,8 +24,8 @@
     private static final AtomicInteger nextPort = new AtomicInteger((int) ProcessHandle.current().pid());
     public final Process process;
     public final List<String> log = new CopyOnWriteArrayList<>();
-    public final String listen;
-    private final Path file;
+    public final String listenAddress;
+    private final Path configFile;
 
     public Program(String config) throws IOException {
         this(config, Path.of("."));
@@ -37,13 +37,13 @@
     }
 
     /** Starts a front with a settings file. */
-    public static Program with(String config, Path settings) throws IOException {
+    public static Program withSettings(String config, Path settings) throws IOException {
         return new Program(config, Path.of("."),
                 List.of("/bin/sh", "-c", runCommand(Path.of(".")) + " --settings " + settings));
     }
 
     /** Starts a front with one additional JVM option. */
-    public static Program withJvm(String config, String jvmOption) throws IOException {
+    public static Program withJvmOption(String config, String jvmOption) throws IOException {
         return new Program(config, Path.of("."), List.of("/bin/sh", "-c", runCommand(Path.of("."))
                 .replace(" -jar ", " " + jvmOption + " -jar ")));
     }
@@ -62,7 +62,7 @@
     }
 
     /** Starts a front with a settings file and with the fault shim loaded. */
-    public static Program with(String config, Path settings, FaultShim shim) throws IOException {
+    public static Program withSettings(String config, Path settings, FaultShim shim) throws IOException {
         return new Program(parseListenAddress(config),
                 writeConfig(Files.createTempFile("reedspring", ".json"), config),
                 Path.of("."), List.of("/bin/sh", "-c", runCommand(Path.of(".")) + " --settings " + settings),
@@ -70,20 +70,20 @@
     }
 
     /** Starts a front from a parent that ignores SIGHUP, as nohup and some supervisors do. */
-    public static Program ofOneThatIgnoresSighup(String config) throws IOException {
+    public static Program withSighupIgnored(String config) throws IOException {
         return new Program(config, Path.of("."),
                 List.of("/bin/sh", "-c", "trap '' HUP; exec /bin/sh -c \"$0\"", runCommand(Path.of("."))));
     }
 
     /** Starts a front under a descriptor limit that the kernel enforces. */
-    public static Program withDescriptors(int maxDescriptors, String config) throws IOException {
+    public static Program withDescriptorLimit(int maxDescriptors, String config) throws IOException {
         return new Program(config, Path.of("."),
                 List.of("/bin/sh", "-c", "ulimit -n " + maxDescriptors + "; exec /bin/sh -c \"$0\"",
                         runCommand(Path.of("."))));
     }
 
     /** Starts a front whose log goes to a pipe that is already full; the caller reads it when needed. */
-    public static Program withFullLog(String config, Path pipe) throws IOException, InterruptedException {
+    public static Program withFullLogPipe(String config, Path pipe) throws IOException, InterruptedException {
         Rig.require(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor() == 0, "mkfifo failed");
         return new Program(config, Path.of("."), List.of("/bin/sh", "-c",
                 "exec 3<>\"$1\"; head -c 65536 /dev/zero >&3; exec /bin/sh -c \"$0\" >&3 2>&3",
@@ -92,9 +92,9 @@
 
     /**
      * Starts a front whose configuration file is a named pipe: each time the program, or the shell that
-     * launches it, opens the file, it blocks until {@link #configured} is called.
+     * launches it, opens the file, it blocks until {@link #writeConfigToPipe} is called.
      */
-    public static Program waiting(String listen) throws IOException, InterruptedException {
+    public static Program withConfigPipe(String listen) throws IOException, InterruptedException {
         Path pipe = Files.createTempDirectory("reedspring").resolve("config");
         Rig.require(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor() == 0, "mkfifo failed");
         pipe.toFile().deleteOnExit();
@@ -102,8 +102,8 @@
     }
 
     /** Supplies the configuration to the launching shell and waits until that has started the JVM. */
-    public void configuredLine(String config) throws IOException, InterruptedException {
-        configured(config, () -> { });
+    public void writeConfigForLauncher(String config) throws IOException, InterruptedException {
+        writeConfigToPipe(config, () -> { });
         Rig.await("the program itself", () -> process.info().command().orElse("").endsWith("java"));
     }
 
@@ -111,8 +111,8 @@
      * Waits until the configuration is opened, runs {@code beforeWrite}, and then writes the configuration to
      * the pipe if the process is still alive.
      */
-    public void configured(String config, Server.IoTask beforeWrite) throws IOException {
-        try (OutputStream pipe = Files.newOutputStream(file)) {
+    public void writeConfigToPipe(String config, Server.IoTask beforeWrite) throws IOException {
+        try (OutputStream pipe = Files.newOutputStream(configFile)) {
             beforeWrite.run();
             if (process.isAlive()) {
                 pipe.write(config.getBytes(StandardCharsets.UTF_8));
@@ -144,8 +144,8 @@
 
     private Program(String listen, Path file, Path home, List<String> command,
             Consumer<ProcessBuilder> configureProcess) throws IOException {
-        this.listen = listen;
-        this.file = file;
+        this.listenAddress = listen;
+        this.configFile = file;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("RELAY_CONFIG", file.toString());
         builder.directory(home.toFile());
@@ -165,20 +165,20 @@
                 .filter(line -> line.startsWith("run =")).findFirst().orElseThrow().split("\"")[1];
     }
 
-    public Program ready() throws InterruptedException {
+    public Program awaitReady() throws InterruptedException {
         Rig.await("the front to serve", () -> logged("serves on") || !process.isAlive());
         Rig.require(process.isAlive(), "the front exited before it was ready: " + log);
         return this;
     }
 
-    public void signal(String name) throws IOException, InterruptedException {
+    public void sendSignal(String name) throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
         Rig.require(new ProcessBuilder("kill", name, pid).start().waitFor() == 0,
                 "kill could not send " + name);
     }
 
     /** Sends one signal {@code times} times in a row. */
-    public void signals(String name, int times) throws IOException, InterruptedException {
+    public void sendSignals(String name, int times) throws IOException, InterruptedException {
         String script = "i=0; while [ $i -lt " + times + " ]; do kill -" + name + " " + process.pid()
                 + " || exit 1; i=$((i+1)); done";
         Rig.require(new ProcessBuilder("/bin/sh", "-c", script).start().waitFor() == 0,
@@ -189,17 +189,17 @@
     public void reload(String config) throws IOException, InterruptedException {
         Path replacement = Files.createTempFile("reedspring", ".json");
         Files.writeString(replacement, config);
-        Files.move(replacement, file, StandardCopyOption.REPLACE_EXISTING);
-        signal("-HUP");
+        Files.move(replacement, configFile, StandardCopyOption.REPLACE_EXISTING);
+        sendSignal("-HUP");
     }
 
     /** Path of the configuration file. */
-    public Path file() {
-        return file;
+    public Path configFile() {
+        return configFile;
     }
 
     /** Limits the descriptors that the running process may open; open ones are not closed. */
-    public void descriptors(int maxDescriptors) throws IOException, InterruptedException {
+    public void limitDescriptors(int maxDescriptors) throws IOException, InterruptedException {
         Rig.require(new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()),
                 "--nofile=" + maxDescriptors + ":").start().waitFor() == 0,
                 "prlimit could not set the descriptor limit");
@@ -209,8 +209,8 @@
         return log.stream().anyMatch(line -> line.contains(text));
     }
 
-    public Client client() throws IOException {
-        return new Client(Integer.parseInt(listen.substring(listen.indexOf(':') + 1)));
+    public Client connectClient() throws IOException {
+        return new Client(Integer.parseInt(listenAddress.substring(listenAddress.indexOf(':') + 1)));
     }
 
     @Override
@@ -224,7 +224,7 @@
      * @param journal address of the journal service; null leaves the field out
      * @param known journal events that the front knows at its start
      */
-    public static String config(String listen, String journal, String... known) {
+    public static String configJson(String listen, String journal, String... known) {
         return "{\"name\":\"n0\",\"listen\":\"" + listen + "\",\"seed\":\"8c1f30d27a5be964\","
                 + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
                 + (journal == null ? "" : "\"journal\":\"" + journal + "\",")
--- a/src/rig/java/reedspring/rig/Starts.java
+++ b/src/rig/java/reedspring/rig/Starts.java
@@ -57,13 +57,13 @@
             }
             journal.tell(true, hosts);
             load.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
-            try (Program front = new Program(Program.config(Program.freeAddress(), journal.address(),
-                    JournalStandIn.event(1, true, hosts)), home).ready()) {
+            try (Program front = new Program(Program.configJson(Program.freeAddress(), journal.address(),
+                    JournalStandIn.event(1, true, hosts)), home).awaitReady()) {
                 Map<String, Double> atReady = cpuSecondsByThread(front.process.pid());
                 long[] sent = new long[1];
                 List<Client> clients = new ArrayList<>();
                 for (int k = 0; k < CONNECTIONS; k++) {
-                    Client client = front.client();
+                    Client client = front.connectClient();
                     clients.add(client);
                     Server.runInBackground(() -> {
                         while (true) {
--- a/src/rig/java/reedspring/rig/Stops.java
+++ b/src/rig/java/reedspring/rig/Stops.java
@@ -86,11 +86,11 @@
                 hosts[k] = host(names[k], fleet[k].address(), "ready");
             }
             journal.tell(true, hosts);
-            front = new Program(Program.config(Program.freeAddress(), journal.address(),
-                    JournalStandIn.event(1, true, hosts))).ready();
+            front = new Program(Program.configJson(Program.freeAddress(), journal.address(),
+                    JournalStandIn.event(1, true, hosts))).awaitReady();
             scheduler.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
             for (int k = 0; k < CONNECTIONS; k++) {
-                loadClients.add(new LoadClient(front.client()));
+                loadClients.add(new LoadClient(front.connectClient()));
             }
             SplittableRandom clientChoice = random.split();
             var load = scheduler.scheduleAtFixedRate(
@@ -139,14 +139,14 @@
         long suspensionMs = 40 + random.nextInt(860);
         boolean duringSuspension = random.nextInt(4) > 0;
         long beforeNoticeMs = duringSuspension ? random.nextLong(suspensionMs / 2) : suspensionMs;
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         long suspendedNanos = System.nanoTime();
         Thread.sleep(beforeNoticeMs);
         if (duringSuspension) {
             sendDrainNotice(name, engine);
             Thread.sleep(suspensionMs - beforeNoticeMs);
         }
-        front.signal("-CONT");
+        front.sendSignal("-CONT");
         suspensions.add(new long[] {suspendedNanos, System.nanoTime()});
         if (!duringSuspension) {
             Thread.sleep(random.nextInt(20));
--- a/src/rig/java/reedspring/rig/fleet/Fleet.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleet.java
@@ -143,7 +143,7 @@
 
         /** Sends the signal unless the process has exited already, as it was asked to. */
         private void signal(String name) throws IOException, InterruptedException {
-            ifAlive(() -> program.signal(name));
+            ifAlive(() -> program.sendSignal(name));
         }
 
         /** Runs the task if the process is alive; a failure because of its exit meanwhile is ignored. */
@@ -245,7 +245,7 @@
                 front.start();
             }
             for (Front front : batch) {
-                front.program.ready();
+                front.program.awaitReady();
             }
         }
         clients = new SimulatedClients(timetable, random.nextLong(),
@@ -450,13 +450,13 @@
     /** Sends series of SIGHUP while the configuration file is missing, and one once it is restored. */
     private void sendSignalSeries(Front front, long spanMs) {
         scheduler.execute(recordingFailure(() -> {
-            Path file = front.program.file();
+            Path file = front.program.configFile();
             Path hiddenFile = file.resolveSibling(file.getFileName() + ".away");
             Files.move(file, hiddenFile);
             try {
                 long endsAt = System.nanoTime() + spanMs / 2 * NS_PER_MS;
                 while (System.nanoTime() < endsAt && front.program.process.isAlive()) {
-                    front.ifAlive(() -> front.program.signals("HUP", SIGNALS_PER_SERIES));
+                    front.ifAlive(() -> front.program.sendSignals("HUP", SIGNALS_PER_SERIES));
                     Thread.sleep(SIGNAL_SERIES_INTERVAL_MS);
                 }
             } finally {
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -115,10 +115,9 @@
                         "Deployment.ColdStart rule = deployment.coldStart();\n        if (now >= 0) {\n"
                                 + "            return true;\n        }\n        if (now - createdAt",
                         coldEngineTimetable("cold-unheeded"), "cold engine overloaded"),
-                new Mutant("wall-clock-believed", List.of(
-                        new Change("net/Clock.java",
-                                "EngineStartTime.estimate(ms * 10, now(), unixTicks.getAsLong())",
-                                "EngineStartTime.estimate(0, 0, 0) + now() + ms * 10 - unixTicks.getAsLong()"),
+                new Mutant("wall-clock-believed", List.of(new Change("net/Clock.java",
+                        "EngineStartTime.estimate(ms * 10, now(), unixTicks.getAsLong())",
+                        "EngineStartTime.estimate(0, 0, 0) + now() + ms * 10 - unixTicks.getAsLong()"),
                         new Change("net/Journal.java", "EngineStartTime.ofNewEngine(estimate, lastReceived)",
                                 "EngineStartTime.ofNewEngine(estimate, 0)")),
                         coldEngineTimetable("wall-clock-believed"), "cold engine overloaded"),
@@ -160,7 +159,8 @@
                         timetable("thread-for-each-signal", entry(What.NO_THREADS, 1, 6, 1),
                                 entry(What.LEAVE, 2, 3.7, 1)), "had not exited"),
                 new Mutant("selector-once", "net/Startup.java", "new StartAttempts(30, RETRY_DELAY_MS)",
-                        "new StartAttempts(1, RETRY_DELAY_MS)", restartTimetable("selector-once"), DID_NOT_START),
+                        "new StartAttempts(1, RETRY_DELAY_MS)", restartTimetable("selector-once"),
+                        DID_NOT_START),
                 new Mutant("configuration-once", "net/Startup.java", "new StartAttempts(50, RETRY_DELAY_MS)",
                         "new StartAttempts(1, RETRY_DELAY_MS)", restartTimetable("configuration-once"),
                         DID_NOT_START),
--- a/src/rig/java/reedspring/rig/scale/ChildMain.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -332,7 +332,7 @@
                         start(k);
                     }
                     for (Program front : List.copyOf(fronts.values())) {
-                        front.ready();
+                        front.awaitReady();
                     }
                     return "";
                 }
@@ -374,7 +374,7 @@
                         start(k);
                     }
                     for (int k : parseNumbers(words[1])) {
-                        fronts.get(k).ready();
+                        fronts.get(k).awaitReady();
                     }
                     return Long.toString(System.nanoTime() - startNanos);
                 }
@@ -411,7 +411,7 @@
                         continue;
                     }
                     if (client == null) {
-                        client = program.client();
+                        client = program.connectClient();
                         requestId = clientIndex;
                     }
                     requestId += CLIENTS_PER_FRONT;
--- a/src/rig/java/reedspring/rig/scale/MeasuredFront.java
+++ b/src/rig/java/reedspring/rig/scale/MeasuredFront.java
@@ -46,10 +46,10 @@
         }
         journal.tell(true, hosts);
         journalCommentExecutor.scheduleAtFixedRate(journal::comment, 0, 1, TimeUnit.SECONDS);
-        front = new Program(Program.config(Program.freeAddress(), journal.address(),
+        front = new Program(Program.configJson(Program.freeAddress(), journal.address(),
                 JournalStandIn.event(1, true, hosts)).replace("\"sockets\":1024", "\"sockets\":"
                 + SOCKET_LIMIT)
-                .replace("\"memory_mb\":192", "\"memory_mb\":" + Slopes.MEMORY_MB)).ready();
+                .replace("\"memory_mb\":192", "\"memory_mb\":" + Slopes.MEMORY_MB)).awaitReady();
     }
 
     /** Opens connections up to this number, a multiple of the callers; each exchanges one heartbeat. */
@@ -58,7 +58,7 @@
         Rig.require(connections - clients.size() + RESERVED_DESCRIPTORS < free,
                 connections + " connections need more than the " + free + " free descriptors");
         while (clients.size() < connections) {
-            Client client = front.client();
+            Client client = front.connectClient();
             clients.add(client);
             client.send(Client.pack(List.of(0, 1, "heartbeat", List.of(Map.of())))).read();
         }
--- a/src/test/java/reedspring/net/AcceptIT.java
+++ b/src/test/java/reedspring/net/AcceptIT.java
@@ -25,8 +25,8 @@
     private void startWithShim(EngineStandIn engine) throws Exception {
         shim = open(new FaultShim());
         journal = open(new JournalStandIn());
-        front = open(Program.withShim(Program.config(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready"))), shim)).ready();
+        front = open(Program.withShim(Program.configJson(Program.freeAddress(), journal.address(),
+                event(1, true, host("e0", engine.address(), "ready"))), shim)).awaitReady();
         serves();
     }
 
--- a/src/test/java/reedspring/net/CrossingsIT.java
+++ b/src/test/java/reedspring/net/CrossingsIT.java
@@ -63,7 +63,7 @@
         Map<Long, List<?>> answers = client.read(2);
         assertTrue(answers.values().stream().allMatch(answer -> "Shed".equals(Client.error(answer))),
                 answers::toString);
-        assertTrue(client.ended());
+        assertTrue(client.closedByFront());
     }
 
     /** A mutating query that may have run must not be reported as safe to retry. */
@@ -72,14 +72,14 @@
         List<EngineStandIn.Command> held = new CopyOnWriteArrayList<>();
         EngineStandIn engine = holdingEngine(held);
         journal = open(new JournalStandIn());
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready")))
-                .replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""))).ready();
+                .replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""))).awaitReady();
         Client client = client().send(Client.query(1, Client.trace(), PATIENCE, "insert"));
         await("the query at the engine", () -> held.size() == 1);
         client.send(INVALID_MESSAGEPACK);
         assertEquals("Fault", Client.error(client.read()));
-        assertTrue(client.ended());
+        assertTrue(client.closedByFront());
     }
 
     /** A reused request id fails only the queries with that id; the others on the connection are answered. */
@@ -94,7 +94,7 @@
         Map<Long, List<?>> answers = client.read(2);
         assertEquals("Shed", Client.error(answers.get(1L)));
         assertEquals("Fault", Client.error(answers.get(2L)));
-        assertTrue(client.ended());
+        assertTrue(client.closedByFront());
     }
 
     /** Such a client was once disconnected after 1.25 s, and its running query was lost. */
@@ -131,7 +131,7 @@
         Thread.sleep(2_500);
         EngineStandIn.pages(1).accept(held.get(0));
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(client.read()));
-        assertTrue(client.ended(), "the unfinished message is given up");
+        assertTrue(client.closedByFront(), "the unfinished message is given up");
     }
 
     // ---- the journal
@@ -146,8 +146,8 @@
         journal.tell(true, host("e0", first.address(), "ready"));
         journal.tell(false, host("e0", first.address(), "draining"), host("e1", second.address(), "ready"));
         long began = System.nanoTime();
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", first.address(), "ready"))))).ready();
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
+                event(1, true, host("e0", first.address(), "ready"))))).awaitReady();
         await("the new engine in use", () -> served() && !second.seen("fetch").isEmpty());
         long tookMs = (System.nanoTime() - began) / 1_000_000;
         assertTrue(tookMs < 7_000, "the list has to be in effect after 7 s: " + tookMs);
@@ -162,8 +162,8 @@
         journal.tell(true, host("e0", first.address(), "ready"));
         journal.tell(false, host("e0", first.address(), "no such state"));
         journal.tell(false, host("e0", first.address(), "draining"), host("e1", second.address(), "ready"));
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", first.address(), "ready"))))).ready();
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
+                event(1, true, host("e0", first.address(), "ready"))))).awaitReady();
         await("the new engine in use", () -> served() && !second.seen("fetch").isEmpty());
         int before = first.seen("fetch").size();
         serves();
@@ -176,11 +176,11 @@
         start(engine(1));
         JournalStandIn next = open(new JournalStandIn());
         Path away = Files.createTempFile("reedspring", ".next");
-        Files.writeString(away, Program.config(front.listen, next.address()));
-        Files.delete(front.file());
-        front.signal("-HUP");
+        Files.writeString(away, Program.configJson(front.listenAddress, next.address()));
+        Files.delete(front.configFile());
+        front.sendSignal("-HUP");
         await("the log line", () -> front.logged("configuration can't be used, nothing changed"));
-        Files.move(away, front.file(), StandardCopyOption.REPLACE_EXISTING);
+        Files.move(away, front.configFile(), StandardCopyOption.REPLACE_EXISTING);
         await("the subscription at the new address", () -> !next.calledFrom.isEmpty());
     }
 
@@ -195,13 +195,13 @@
         try (ServerSocket before = new ServerSocket(Integer.parseInt(listen.substring(listen.indexOf(':')
                 + 1)),
                 1, InetAddress.getLoopbackAddress())) {
-            front = open(new Program(Program.config(listen, journal.address(),
+            front = open(new Program(Program.configJson(listen, journal.address(),
                     event(1, true, host("e0", engine.address(), "ready")))));
             await("the subscription", () -> !journal.calledFrom.isEmpty() || !front.process.isAlive());
             Thread.sleep(500);
             assertTrue(before.isBound());
         }
-        front.ready();
+        front.awaitReady();
         serves();
     }
 
@@ -210,10 +210,10 @@
     void unsentMutatingQueryIsSafeToRetry() throws Exception {
         EngineStandIn late = open(EngineStandIn.late(EngineStandIn.pages(1)));
         journal = open(new JournalStandIn());
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", late.address(), "ready")))
                 .replace("\"effect\":\"repeatable\"", "\"effect\":\"once\"")
-                .replace("\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":4000.0"))).ready();
+                .replace("\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":4000.0"))).awaitReady();
         List<?> answer = client().send(Client.query(1, Client.trace(), 800, "insert")).read();
         assertEquals("Shed", Client.error(answer));
         assertTrue(late.seen("fetch").isEmpty());
--- a/src/test/java/reedspring/net/DeadlineIT.java
+++ b/src/test/java/reedspring/net/DeadlineIT.java
@@ -40,13 +40,13 @@
             action.run();
             return;
         }
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         try {
             Thread.sleep(5);
             action.run();
             Thread.sleep(ms);
         } finally {
-            front.signal("-CONT");
+            front.sendSignal("-CONT");
         }
     }
 
--- a/src/test/java/reedspring/net/DeadlineMissesIT.java
+++ b/src/test/java/reedspring/net/DeadlineMissesIT.java
@@ -18,12 +18,12 @@
 
     /** Stops the front until {@code lateMs} after the client's deadline. */
     private void stopPastDeadline(int lateMs, Work lastAction) throws Exception {
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         try {
             Thread.sleep(CLIENT_TIMEOUT_MS + lateMs);
             lastAction.run();
         } finally {
-            front.signal("-CONT");
+            front.sendSignal("-CONT");
         }
     }
 
@@ -84,7 +84,7 @@
         await("it at the engine", () -> engine.seen("fetch").size() == 1);
         client.send(new byte[] {(byte) 0xc1});
         assertEquals("Shed", Client.error(client.read()));
-        assertTrue(client.ended());
+        assertTrue(client.closedByFront());
         await("the end of the connection", () -> front.logged("client connection closed, broken framing"));
         assertTrue(front.log.stream().noneMatch(each -> each.contains(trace)), front.log.toString());
     }
--- a/src/test/java/reedspring/net/EndingsIT.java
+++ b/src/test/java/reedspring/net/EndingsIT.java
@@ -37,10 +37,10 @@
     private void startWithConfigChange(String replaced, String replacement, EngineStandIn engine)
             throws Exception {
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready")));
         assertTrue(config.contains(replaced));
-        front = open(new Program(config.replace(replaced, replacement))).ready();
+        front = open(new Program(config.replace(replaced, replacement))).awaitReady();
     }
 
     private static final String REPEATABLE_EFFECT = "\"effect\":\"repeatable\"";
@@ -61,17 +61,17 @@
 
     /** A client with a small receive buffer: most of an answer stays in the front until it is read. */
     private Client clientWithSmallReceiveBuffer() throws IOException {
-        return open(new Client(Integer.parseInt(front.listen.substring(front.listen.indexOf(':') + 1)),
-                4_000_000));
+        return open(new Client(
+                Integer.parseInt(front.listenAddress.substring(front.listenAddress.indexOf(':') + 1)), 4_000_000));
     }
 
     private void whileStopped(Action action) throws Exception {
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         try {
             action.run();
             Thread.sleep(300);
         } finally {
-            front.signal("-CONT");
+            front.sendSignal("-CONT");
         }
     }
 
@@ -121,7 +121,7 @@
         Client silent = client();
         assertTrue(silent.socket.getInputStream().read() < 0, "a connection without requests is closed");
         silent.send(Client.query(1, Client.trace(), PATIENCE, "crosses"), HEARTBEAT);
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         assertTrue(idle.socket.getInputStream().read() < 0, "an orderly close");
         assertTrue(front.process.isAlive(), "it waits for its clients to close");
         idle.send(Client.query(1, Client.trace(), PATIENCE, "crosses"), HEARTBEAT);
@@ -136,13 +136,13 @@
         start(engine(1));
         Client idle = client().send(HEARTBEAT);
         idle.read();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         await("the start of the shutdown", () -> front.logged("leaving"));
         String trace = Client.trace();
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         idle.send(Client.query(1, trace, PATIENCE, "select"));
         Thread.sleep(1_200);
-        front.signal("-CONT");
+        front.sendSignal("-CONT");
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(idle.read()));
         assertTrue(idle.socket.getInputStream().read() < 0);
     }
@@ -159,7 +159,7 @@
         await("the queries at the engine", () -> held.size() == 16);
         held.forEach(EngineStandIn.pages(7));
         long term = System.nanoTime();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         Thread.sleep(Math.max(1, 3_050 - (System.nanoTime() - term) / 1_000_000));
         assertEquals(16, silent.read(16).size());
     }
@@ -220,7 +220,7 @@
             }));
         }
         sleepUntil(term, 0);
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         for (int k = 0; k < all.size(); k++) {
             assertTrue(all.get(k).get(10, TimeUnit.SECONDS), "no orderly close, ready at " + readyAt[k]);
         }
@@ -269,7 +269,7 @@
             }));
         }
         sleepUntil(term, 0);
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         for (int k = 0; k < all.size(); k++) {
             assertTrue(all.get(k).get(10, TimeUnit.SECONDS), Arrays.toString(endsAndReadsAt[k]));
         }
@@ -280,10 +280,10 @@
     void unacceptedConnectionsAreServedBeforeShutdown() throws Exception {
         start(engine(1));
         serves();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         long term = System.nanoTime();
         await("the start of the shutdown", () -> front.logged("leaving"));
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         List<Client> asking = new ArrayList<>();
         for (int k = 0; k < 20; k++) {
             client();
@@ -292,7 +292,7 @@
             asking.add(client().send(Client.query(1, Client.trace(), PATIENCE, "select")));
         }
         sleepUntil(term, 1_100);
-        front.signal("-CONT");
+        front.sendSignal("-CONT");
         for (Client each : asking) {
             assertNotEquals(null, Client.rows(each.read()));
         }
@@ -304,16 +304,16 @@
         start(engine(1));
         Client idle = client().send(HEARTBEAT);
         idle.read();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         long term = System.nanoTime();
         await("the start of the shutdown", () -> front.logged("leaving"));
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         CompletableFuture<Boolean> sent = runAsync(() -> {
             idle.send(Client.query(1, Client.trace(), PATIENCE, "x".repeat(240_000)));
             return true;
         });
         sleepUntil(term, 1_100);
-        front.signal("-CONT");
+        front.sendSignal("-CONT");
         assertNotEquals(null, Client.rows(idle.read()));
         assertTrue(sent.get(10, TimeUnit.SECONDS));
     }
@@ -325,13 +325,13 @@
         start(engine);
         Client idle = client().send(HEARTBEAT);
         idle.read();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         long term = System.nanoTime();
         await("the start of the shutdown", () -> front.logged("leaving"));
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         idle.send(Client.query(1, Client.trace(), PATIENCE, "select"));
         sleepUntil(term, 3_400);
-        front.signal("-CONT");
+        front.sendSignal("-CONT");
         assertEquals("Shed", Client.error(idle.read()));
         assertTrue(engine.seen("fetch").isEmpty());
     }
@@ -443,11 +443,11 @@
         EngineStandIn first = holdingEngine(held);
         EngineStandIn late = open(EngineStandIn.late(EngineStandIn.pages(1)));
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", first.address(), "ready")));
         front = open(new Program(config.replace(REPEATABLE_EFFECT,
                 "\"effect\":\"by_key\",\"group\":\"all\",\"windowMs\":900.0").replace(
-                        "\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":4000.0"))).ready();
+                        "\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":4000.0"))).awaitReady();
         Client client = client().send(Client.query(1, Client.trace(), PATIENCE, "insert"));
         await("the first run", () -> held.size() == 1);
         await("the journal subscription", () -> !journal.calledFrom.isEmpty());
@@ -522,21 +522,21 @@
     void shutdownTellsForEachQueryWhetherARetryIsSafe() throws Exception {
         EngineStandIn silent = silentEngine();
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", silent.address(), "ready")));
         String once = "{\"name\":\"load\",\"aimMs\":9000.0,\"deadlineMs\":30000.0,\"effect\":\"once\","
                 + "\"points\":1.0}";
         front = open(new Program(config.replace("\"aimMs\":900.0", "\"deadlineMs\":30000.0,\"aimMs\":900.0")
                 .replace("\"points\":1.0}]", "\"points\":1.0}," + once + "]")
-                .replace("\"parallelism\":[1]", "\"parallelism\":[1,1]"))).ready();
+                .replace("\"parallelism\":[1]", "\"parallelism\":[1,1]"))).awaitReady();
         Client client = client().send(Client.query(1, Client.trace(), 30_000, "select"),
                 Client.pack(List.of(0, 2, "load", List.of(Client.fields(Client.trace(), 30_000),
                         new byte[3]))));
         await("both queries at the engine", () -> silent.seen("fetch").size() == 2);
         long term = System.nanoTime();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         await("the start of the shutdown", () -> front.logged("leaving"));
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         Map<Long, List<?>> answers = client.read(2);
         assertEquals("Shed", Client.error(answers.get(1L)));
         assertEquals("Fault", Client.error(answers.get(2L)));
@@ -553,20 +553,20 @@
         JournalStandIn before = open(new JournalStandIn());
         JournalStandIn after = open(new JournalStandIn());
         String listen = Program.freeAddress();
-        front = open(Program.waiting(listen));
-        String config = Program.config(listen, before.address(),
+        front = open(Program.withConfigPipe(listen));
+        String config = Program.configJson(listen, before.address(),
                 event(1, true, host("e0", engine(1).address(), "ready")));
-        front.configuredLine(config);
-        front.configured(config, () -> {
+        front.writeConfigForLauncher(config);
+        front.writeConfigToPipe(config, () -> {
             try {
-                front.signal("-HUP");
+                front.sendSignal("-HUP");
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
         });
         CompletableFuture<Void> again = CompletableFuture.runAsync(() -> {
             try {
-                front.configured(config.replace(before.address(), after.address()), () -> { });
+                front.writeConfigToPipe(config.replace(before.address(), after.address()), () -> { });
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -579,12 +579,12 @@
     @Example
     void sigtermDuringStartExitsWithZero() throws Exception {
         String listen = Program.freeAddress();
-        front = open(Program.waiting(listen));
-        String config = Program.config(listen, "127.0.0.1:1");
-        front.configuredLine(config);
-        front.configured(config, () -> {
+        front = open(Program.withConfigPipe(listen));
+        String config = Program.configJson(listen, "127.0.0.1:1");
+        front.writeConfigForLauncher(config);
+        front.writeConfigToPipe(config, () -> {
             try {
-                front.signal("-TERM");
+                front.sendSignal("-TERM");
                 assertTrue(front.process.waitFor(5, TimeUnit.SECONDS), "still waiting for its configuration");
             } catch (InterruptedException e) {
                 throw new IOException(e);
@@ -601,11 +601,11 @@
         int maxDescriptors = 160;
         String journalAt = Program.freeAddress();
         EngineStandIn engine = engine(1);
-        String config = Program.config(Program.freeAddress(), journalAt,
+        String config = Program.configJson(Program.freeAddress(), journalAt,
                 event(1, true, host("e0", engine.address(), "draining")));
-        front = open(Program.withDescriptors(maxDescriptors, config.replace("\"sockets\":1024",
+        front = open(Program.withDescriptorLimit(maxDescriptors, config.replace("\"sockets\":1024",
                 "\"sockets\":" + maxDescriptors)));
-        front.ready();
+        front.awaitReady();
         List<Client> idle = new ArrayList<>();
         for (int k = 0; k < 2 * maxDescriptors; k++) {
             Client client = client();
@@ -621,7 +621,7 @@
         await("the subscription", () -> !journal.calledFrom.isEmpty());
         journal.send("id: 2\ndata: " + event(2, true, host("e1", engine.address(), "ready")) + "\n\n");
         await("a query served", () -> {
-            try (Client fresh = front.client()) {
+            try (Client fresh = front.connectClient()) {
                 return Client.rows(fresh.send(Client.query(1, Client.trace(), PATIENCE, "select")).read())
                         != null;
             } catch (IOException e) {
@@ -638,12 +638,12 @@
         await("the subscription", () -> journal.calledFrom.size() == 1);
         Client client = client().send(HEARTBEAT);
         client.read();
-        front.descriptors(10);
+        front.limitDescriptors(10);
         journal.reset();
         await("a failed connect", () -> front.logged("journal unreachable"));
         List<?> answer = client.send(Client.query(1, Client.trace(), 1_500, "select")).read();
         assertEquals("Shed", Client.error(answer), () -> "nothing ran: " + front.log);
-        front.descriptors(1024);
+        front.limitDescriptors(1024);
         await("the next subscription", () -> journal.calledFrom.size() == 2);
         await("a query served", () -> {
             try {
--- a/src/test/java/reedspring/net/FailingCallsIT.java
+++ b/src/test/java/reedspring/net/FailingCallsIT.java
@@ -41,13 +41,13 @@
         shim.set(fault, value);
         journal = open(new JournalStandIn());
         engine = engine(1);
-        front = open(Program.withShim(Program.config(Program.freeAddress(), journal.address(),
+        front = open(Program.withShim(Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready"))), shim));
     }
 
     private void assertServesDespite(Fault fault, long value) throws Exception {
         startWithFault(fault, value);
-        front.ready();
+        front.awaitReady();
         serves();
         assertTrue(shim.get(Fault.FAILED_CALLS) > 0, "no call failed");
     }
@@ -98,7 +98,7 @@
     void singleRegistrationFailureDoesNotPreventServing() throws Exception {
         for (int which = 1; which <= 5; which++) {
             startWithFault(Fault.EPOLL_ADD_AT, which);
-            front.ready();
+            front.awaitReady();
             long began = System.nanoTime();
             serves();
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
@@ -111,7 +111,7 @@
     @Example
     void unregisteredClientConnectionIsFoundAndServed() throws Exception {
         startWithFault(Fault.EPOLL_ADD_AT, 0);
-        front.ready();
+        front.awaitReady();
         serves();
         shim.set(Fault.EPOLL_ADD_AT, 1);
         Client client = client();
@@ -136,17 +136,17 @@
     @Example
     void signalBurstTakesNeitherThreadsNorMemory() throws Exception {
         startWithFault(Fault.EPOLL_ADD_AT, 0);
-        front.ready();
+        front.awaitReady();
         serves();
-        front.signal("-HUP");
+        front.sendSignal("-HUP");
         await("a first reload", () -> front.logged("configuration read again"));
         Thread.sleep(500);
         long threads = procStatus("Threads");
         long peak = procStatus("VmHWM");
-        Files.delete(front.file());
+        Files.delete(front.configFile());
         CompletableFuture<Void> signals = CompletableFuture.runAsync(() -> {
             try {
-                front.signals("HUP", SIGNALS);
+                front.sendSignals("HUP", SIGNALS);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -161,7 +161,7 @@
         long grown = procStatus("VmHWM") - peak;
         assertTrue(grown <= MAX_MEMORY_GROWTH_KB, "memory grew by " + grown + " kB");
         serves();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         assertTrue(front.process.waitFor(SHUTDOWN_S, TimeUnit.SECONDS), "SIGTERM is not heard");
         assertEquals(0, front.process.exitValue());
     }
@@ -170,10 +170,10 @@
     @Example
     void shutdownIsGracefulWithoutNewThreads() throws Exception {
         startWithFault(Fault.EPOLL_ADD_AT, 0);
-        front.ready();
+        front.awaitReady();
         serves();
         shim.set(Fault.THREADS_FROM, 1);
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         assertTrue(front.process.waitFor(SHUTDOWN_S, TimeUnit.SECONDS), "SIGTERM is not heard");
         assertEquals(0, front.process.exitValue());
         assertTrue(front.logged("left"), front.log::toString);
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -161,14 +161,16 @@
         }
         assertEquals(List.of(true, List.of()), client.read().get(3));
         assertEquals("Shed", Client.error(client.read()));
-        assertTrue(client().send(new byte[] {(byte) 0xc1}).ended());
-        assertTrue(client().send(new byte[] {(byte) 0xc6, 127, 0, 0, 0}).ended(), "a message over the limit");
-        assertTrue(client().send(Client.pack(List.of(0, "one", "lookup", List.of()))).ended(), "no id");
+        assertTrue(client().send(new byte[] {(byte) 0xc1}).closedByFront());
+        assertTrue(client().send(new byte[] {(byte) 0xc6, 127, 0, 0, 0}).closedByFront(),
+                "a message over the limit");
+        assertTrue(client().send(Client.pack(List.of(0, "one", "lookup", List.of()))).closedByFront(),
+                "no id");
         SplittableRandom random = new SplittableRandom(11);
         for (int k = 0; k < 60; k++) {
             byte[] noise = new byte[1 + random.nextInt(400)];
             random.nextBytes(noise);
-            open(front.client()).send(noise).close();
+            open(front.connectClient()).send(noise).close();
         }
         assertEquals(List.of(true, List.of()),
                 client.send(Client.pack(List.of(0, 8, "heartbeat", List.of(Map.of())))).read().get(3));
@@ -202,14 +204,14 @@
         Client reusesId = client().send(Client.query(1, Client.trace(), 1_000, "select"),
                 Client.query(1, Client.trace(), 1_000, "again"));
         assertEquals("Fault", Client.error(reusesId.read()));
-        assertTrue(reusesId.ended());
+        assertTrue(reusesId.closedByFront());
         String trace = Client.trace();
         Client reusesTrace = client().send(Client.query(1, trace, 1_000, "select"),
                 Client.query(2, trace, 1_000, "again"));
         Map<Long, List<?>> both = reusesTrace.read(2);
         assertEquals("Fault", Client.error(both.get(2L)));
         assertEquals("Shed", Client.error(both.get(1L)), "the first request must be answered");
-        assertTrue(reusesTrace.ended());
+        assertTrue(reusesTrace.closedByFront());
         assertTrue(silent.seen("fetch").size() <= 3, "the first request of each pair was valid");
         assertEquals("Shed", Client.error(good.read()));
     }
@@ -234,7 +236,7 @@
                 return true;
             }
         });
-        assertTrue(silent.ended() && trickling.ended());
+        assertTrue(silent.closedByFront() && trickling.closedByFront());
         assertTrue(System.nanoTime() - since < 3_000_000_000L, "the connections must be closed within 3 s");
         assertTrue(trickle.get(PATIENCE, TimeUnit.MILLISECONDS));
         idleClient.send(Client.query(2, Client.trace(), PATIENCE, "select"));
@@ -563,7 +565,7 @@
     @Example
     void theHeartbeatIsTrueOnceThereIsAnEngineList() throws Exception {
         journal = open(new JournalStandIn());
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address()))).ready();
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address()))).awaitReady();
         Client client = client();
         byte[] heartbeat = Client.pack(List.of(0, 1, "heartbeat", List.of(Map.of())));
         assertEquals(List.of(false, List.of()), client.send(heartbeat).read().get(3));
@@ -588,8 +590,8 @@
             hosts[k] = host("e" + k, engine.address(), "ready");
         }
         journal = open(new JournalStandIn());
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
-                event(1, true, hosts)).replace("\"sockets\":1024", "\"sockets\":128"))).ready();
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
+                event(1, true, hosts)).replace("\"sockets\":1024", "\"sockets\":128"))).awaitReady();
         Client client = client();
         for (int id = 1; id <= 300; id++) {
             List<?> answer = client.send(Client.query(id, Client.trace(), PATIENCE, "select")).read();
@@ -656,14 +658,15 @@
         await("the call", () -> journal.calledFrom.equals(List.of("1")));
         Client client = client().send(Client.query(1, Client.trace(), 9_000, "slow"));
         await("the query at the engine", () -> slow.seen("fetch").size() == 1);
-        String config = Program.config(front.listen, journal.address());
+        String config = Program.configJson(front.listenAddress, journal.address());
         JournalStandIn next = open(new JournalStandIn());
         front.reload(config.replace(journal.address(), next.address()));
         await("the call at the new address", () -> next.calledFrom.equals(List.of("1")));
         assertTrue(journal.ended(0), "the old stream is dropped");
         Map<String, String> bad = Map.of("RELAY_CONFIG", "{", "journal", config.replace("journal", "other"),
-                "limits.sockets", config.replace("\"sockets\"", "\"x\""), "dial", Program.config(front.listen,
-                        journal.address(), event(1, true, host("e9", "no address", "ready"))));
+                "limits.sockets", config.replace("\"sockets\"", "\"x\""), "dial",
+                Program.configJson(front.listenAddress, journal.address(),
+                        event(1, true, host("e9", "no address", "ready"))));
         for (Map.Entry<String, String> each : bad.entrySet()) {
             front.log.clear();
             front.reload(each.getValue());
@@ -692,9 +695,9 @@
         });
         EngineStandIn.pages(1).accept(slow.seen("fetch").get(0));
         assertEquals(EngineStandIn.page(slow.seen("fetch").get(0).id(), 0), Client.rows(client.read()));
-        front.signal("-HUP");
-        front.signal("-TERM");
-        front.signal("-HUP");
+        front.sendSignal("-HUP");
+        front.sendSignal("-TERM");
+        front.sendSignal("-HUP");
         assertTrue(front.process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(0, front.process.exitValue(), front.log::toString);
     }
@@ -706,9 +709,9 @@
     @Example
     void aReloadWorksWhereTheParentProcessIgnoresSighup() throws Exception {
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine(1).address(), "ready")));
-        front = open(Program.ofOneThatIgnoresSighup(config)).ready();
+        front = open(Program.withSighupIgnored(config)).awaitReady();
         JournalStandIn next = open(new JournalStandIn());
         front.reload(config.replace(journal.address(), next.address()));
         await("the call at the new address", () -> next.calledFrom.equals(List.of("1")));
@@ -720,9 +723,9 @@
     void theDefaultCommandLineLoadsNoOptionalClasses() throws Exception {
         Path classLog = Files.createTempFile("reedspring", ".classes");
         journal = open(new JournalStandIn());
-        front = open(Program.withJvm(Program.config(Program.freeAddress(), journal.address(),
+        front = open(Program.withJvmOption(Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine(1).address(), "ready"))),
-                "-Xlog:class+load:file=" + classLog)).ready();
+                "-Xlog:class+load:file=" + classLog)).awaitReady();
         serves();
         List<String> lines = Files.readAllLines(classLog);
         assertTrue(lines.stream().anyMatch(line -> line.contains("reedspring.net.Front ")));
@@ -756,17 +759,17 @@
     void shutdownEndsBeforeSigkillWhereQueueTimeoutsAreShort() throws Exception {
         EngineStandIn silent = silentEngine();
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", silent.address(), "ready")));
         front = open(new Program(config.replace("\"aimMs\"", "\"deadlineMs\":1200.0,\"aimMs\"")))
-                .ready();
+                .awaitReady();
         List<Client> clients = new ArrayList<>();
         for (int k = 0; k < 60; k++) {
             clients.add(client().send(Client.query(1, Client.trace(), 2_400, "select")));
         }
         await("a query at the engine", () -> !silent.seen("fetch").isEmpty());
         long sigtermNanos = System.nanoTime();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         for (Client client : clients) {
             assertNotEquals(null, Client.error(client.read()));
         }
@@ -788,9 +791,10 @@
             }
         }));
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready")));
-        front = open(new Program(config.replace("\"aimMs\"", "\"deadlineMs\":1200.0,\"aimMs\""))).ready();
+        front = open(new Program(config.replace("\"aimMs\"", "\"deadlineMs\":1200.0,\"aimMs\"")))
+                .awaitReady();
         Client client = client();
         client.socket.setReceiveBufferSize(1 << 16);
         for (int id = 1; id <= 16; id++) {
@@ -798,7 +802,7 @@
         }
         await("the queries at the engine", () -> held.size() == 16);
         long sigtermNanos = System.nanoTime();
-        front.signal("-TERM");
+        front.sendSignal("-TERM");
         Thread.sleep(1_000);
         held.forEach(EngineStandIn.pages(7));
         Thread.sleep(Math.max(1, 1_620 - (System.nanoTime() - sigtermNanos) / 1_000_000));
@@ -836,12 +840,12 @@
         start(engine);
         serves();
         Client client = client();
-        front.signal("-STOP");
+        front.sendSignal("-STOP");
         long stopped = System.nanoTime();
         client.send(Client.query(1, Client.trace(), PATIENCE, "select"),
                 Client.query(2, Client.trace(), 100, "too late"));
         await("a second", () -> System.nanoTime() - stopped > 1_000_000_000L);
-        front.signal("-CONT");
+        front.sendSignal("-CONT");
         Map<Long, List<?>> answers = client.read(2);
         assertTrue(Client.rows(answers.get(1L)) != null);
         assertEquals("Shed", Client.error(answers.get(2L)));
@@ -859,11 +863,11 @@
         start(engine);
         client().send(Client.query(1, Client.trace(), PATIENCE, "lost with it"));
         await("the query at the engine", () -> engine.seen("fetch").size() == 1);
-        front.signal("-KILL");
+        front.sendSignal("-KILL");
         assertTrue(front.process.waitFor(20, TimeUnit.SECONDS));
         EngineStandIn good = engine(1);
-        front = open(new Program(Program.config(front.listen, journal.address(),
-                event(1, true, host("e0", good.address(), "ready"))))).ready();
+        front = open(new Program(Program.configJson(front.listenAddress, journal.address(),
+                event(1, true, host("e0", good.address(), "ready"))))).awaitReady();
         serves();
     }
 
@@ -947,7 +951,7 @@
 
     /** Sends up to 32 queries on one connection and revokes some; then reads all answers, or disconnects. */
     private void sendRandomQueries(SplittableRandom random) throws IOException {
-        try (Client client = front.client()) {
+        try (Client client = front.connectClient()) {
             Map<Long, String> expectedTraces = new HashMap<>();
             int patience = 200 + random.nextInt(800);
             List<Long> revoked = new ArrayList<>();
@@ -987,9 +991,10 @@
     @Example
     void theLimitsHoldUnderAFlood() throws Exception {
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(), event(1, true,
+        String config = Program.configJson(Program.freeAddress(), journal.address(), event(1, true,
                 host("e0", engine(7).address(), "ready"), host("e1", engine(7).address(), "ready")));
-        front = open(new Program(config.replace("\"memory_mb\":192", "\"memory_mb\":" + MEMORY_MB))).ready();
+        front = open(new Program(config.replace("\"memory_mb\":192", "\"memory_mb\":" + MEMORY_MB)))
+                .awaitReady();
         String large = "x".repeat(200_000);
         List<Client> nonReading = new ArrayList<>();
         for (int k = 0; k < 300; k++) {
@@ -1013,7 +1018,7 @@
         }
         Path proc = Path.of("/proc", Long.toString(front.process.pid()));
         await("an answer after the flood", () -> {
-            try (Client fresh = front.client()) {
+            try (Client fresh = front.connectClient()) {
                 fresh.send(Client.query(1, Client.trace(), 3000, "select"));
                 return Client.rows(fresh.read()) != null;
             } catch (IOException e) {
@@ -1038,13 +1043,14 @@
 
     @Example
     void anInvalidConfigurationEndsItWithTheNameOfTheField() throws Exception {
-        String good = Program.config("127.0.0.1:1", "127.0.0.1:2");
-        Map<String, String> bad = Map.of("RELAY_CONFIG", "{", "journal", Program.config("127.0.0.1:1", null),
-                "listen", Program.config("here", "127.0.0.1:2"),
+        String good = Program.configJson("127.0.0.1:1", "127.0.0.1:2");
+        Map<String, String> bad = Map.of("RELAY_CONFIG", "{",
+                "journal", Program.configJson("127.0.0.1:1", null),
+                "listen", Program.configJson("here", "127.0.0.1:2"),
                 "seed", good.replace("8c1f30d27a5be964", "?"),
                 "settings", good.replace("\"settings\"", "\"other\""),
                 "known.entries", good.replace("[],\"settings\"", "7,\"settings\"").replace("[]},", "7},"),
-                "dial", Program.config("127.0.0.1:1", "127.0.0.1:2",
+                "dial", Program.configJson("127.0.0.1:1", "127.0.0.1:2",
                         event(1, true, host("e9", "no address", "ready"))),
                 "classes.0.aimMs", good.replace("900.0", "\"soon\""));
         for (Map.Entry<String, String> each : bad.entrySet()) {
@@ -1055,7 +1061,7 @@
             assertEquals(1, program.log.size(), program.log::toString);
         }
         JournalStandIn taken = open(new JournalStandIn());
-        Program second = open(new Program(Program.config(taken.address(), taken.address())));
+        Program second = open(new Program(Program.configJson(taken.address(), taken.address())));
         assertTrue(second.process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(69, second.process.exitValue(), second.log::toString);
         await("its message", () -> second.logged("listen: "));
--- a/src/test/java/reedspring/net/ListsIT.java
+++ b/src/test/java/reedspring/net/ListsIT.java
@@ -48,7 +48,7 @@
         Traffic() {
             failure = CompletableFuture.supplyAsync(() -> {
                 String trace = "";
-                try (Client client = front.client()) {
+                try (Client client = front.connectClient()) {
                     for (int id = 1; !stopped; id++) {
                         trace = Client.trace();
                         long sentAt = System.nanoTime();
@@ -104,8 +104,9 @@
 
     private void startServingWithMemory(int memoryMb, String... hosts) throws Exception {
         journal = open(new JournalStandIn());
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
-                event(1, true, hosts)).replace("\"memory_mb\":192", "\"memory_mb\":" + memoryMb))).ready();
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
+                event(1, true, hosts)).replace("\"memory_mb\":192", "\"memory_mb\":" + memoryMb)))
+                .awaitReady();
         startTraffic();
     }
 
@@ -220,7 +221,7 @@
         traffic.stop();
         journal.tell(true);
         await("a refusal", () -> {
-            try (Client client = front.client()) {
+            try (Client client = front.connectClient()) {
                 return "Shed".equals(Client.error(client.send(Client.query(1, Client.trace(), 300, "select"))
                         .read()));
             } catch (IOException e) {
@@ -229,7 +230,7 @@
         });
         journal.tell(true, rows(7, 1, "ready", first));
         await("the engine in use", () -> {
-            try (Client client = front.client()) {
+            try (Client client = front.connectClient()) {
                 return Client.rows(client.send(Client.query(1, Client.trace(), 300, "select")).read())
                         != null;
             } catch (IOException e) {
@@ -414,9 +415,9 @@
             }
         }));
         for (int k = 0; k < 10; k++) {
-            front.signal("-STOP");
+            front.sendSignal("-STOP");
             Thread.sleep(150);
-            front.signal("-CONT");
+            front.sendSignal("-CONT");
             Thread.sleep(40);
         }
         assertOnlyUses(second, first);
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -205,7 +205,7 @@
         onLoop(() -> Startup.server(loop, front, limits));
         Client silent = open(new Client(port));
         silent.socket.setSoTimeout(limits.tick * (limits.silentTicks + 6));
-        assertTrue(silent.ended(), "the silent client is disconnected");
+        assertTrue(silent.closedByFront(), "the silent client is disconnected");
     }
 
     @AfterTry
--- a/src/test/java/reedspring/net/ShortDeadlinesIT.java
+++ b/src/test/java/reedspring/net/ShortDeadlinesIT.java
@@ -31,10 +31,10 @@
 
     private void startWith(int deadlineMs, EngineStandIn engine) throws Exception {
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready")));
         String deadline = "\"deadlineMs\":" + deadlineMs + ".0,";
-        front = open(new Program(config.replace("\"aimMs\"", deadline + "\"aimMs\""))).ready();
+        front = open(new Program(config.replace("\"aimMs\"", deadline + "\"aimMs\""))).awaitReady();
     }
 
     private long awaitExitMs(long sigtermNanos) throws Exception {
@@ -78,7 +78,7 @@
             }
             Thread.sleep(300);
             long sigtermNanos = System.nanoTime();
-            front.signal("-TERM");
+            front.sendSignal("-TERM");
             long exitMs = awaitExitMs(sigtermNanos);
             for (CompletableFuture<String> each : outcomes) {
                 assertEquals(null, each.get(10, TimeUnit.SECONDS), "deadline " + deadlineMs);
@@ -111,7 +111,7 @@
                 clients.add(client().send(Client.query(1, Client.trace(), deadlineMs, "select")));
             }
             long sigtermNanos = System.nanoTime();
-            front.signal("-TERM");
+            front.sendSignal("-TERM");
             for (Client client : clients) {
                 assertEquals(1L, client.read().get(1));
             }
--- a/src/test/java/reedspring/net/SpoolIT.java
+++ b/src/test/java/reedspring/net/SpoolIT.java
@@ -49,10 +49,10 @@
         Path settings = Files.writeString(folder.resolveSibling("own.ini"), "[spool]\nfolder = " + folder
                 + "\nkey_file = " + key + (extraSettings.contains("total") ? "\n" : "\ntotal = 64MB\n")
                 + extraSettings);
-        String config = Program.config(listen, journal.address(), event(1, true,
+        String config = Program.configJson(listen, journal.address(), event(1, true,
                 host("e0", engine.address(), "ready"))).replace("repeatable", effect);
-        front = open(shim == null ? Program.with(config, settings) : Program.with(config, settings,
-                shim)).ready();
+        front = open(shim == null ? Program.withSettings(config, settings)
+                : Program.withSettings(config, settings, shim)).awaitReady();
         await("the end of recovery", () -> front.logged("answers found") || front.logged("can't be used"));
     }
 
@@ -97,7 +97,7 @@
     }
 
     private void killFront() throws Exception {
-        front.signal("-KILL");
+        front.sendSignal("-KILL");
         assertTrue(front.process.waitFor(10, TimeUnit.SECONDS));
     }
 
@@ -145,9 +145,9 @@
         }
         // A front of another name must not serve the answers.
         killFront();
-        String config = Program.config(listen, journal.address(), event(1, true,
+        String config = Program.configJson(listen, journal.address(), event(1, true,
                 host("e0", engine.address(), "ready"))).replace("\"n0\"", "\"n1\"");
-        front = open(Program.with(config, folder.resolveSibling("own.ini"))).ready();
+        front = open(Program.withSettings(config, folder.resolveSibling("own.ini"))).awaitReady();
         String handle = kept.values().iterator().next();
         await("the segment to be rejected", () -> front.logged("left as it is, it is of front n0"));
         assertEquals("Fault", Client.error(client().send(call("page", 1, handle, "0", "acme")).read()));
@@ -204,14 +204,15 @@
     void unusableFolderIsReportedAtStartup() throws Exception {
         start("", "repeatable");
         Path settings = folder.resolveSibling("own.ini");
-        Program second = open(Program.with(Program.config(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready"))), settings));
+        Program second = open(Program.withSettings(
+                Program.configJson(Program.freeAddress(), journal.address(),
+                        event(1, true, host("e0", engine.address(), "ready"))), settings));
         assertTrue(second.process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(78, second.process.exitValue());
         await("the log message", () -> second.logged("held by another front"));
         Files.writeString(settings, "[spool]\nfolder = /no/such\nkey_file = " + key + "\ntotal = 1XB\n");
-        Program third = open(Program.with(Program.config(Program.freeAddress(), journal.address()),
-                settings));
+        Program third = open(Program.withSettings(
+                Program.configJson(Program.freeAddress(), journal.address()), settings));
         assertTrue(third.process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(78, third.process.exitValue());
         await("the log messages", () -> third.logged("line 2: [spool] folder")
--- a/src/test/java/reedspring/net/StallsIT.java
+++ b/src/test/java/reedspring/net/StallsIT.java
@@ -139,9 +139,9 @@
         Thread.sleep(2_600);
         // One line of a kind is logged in 10 s, and on a busy machine a stall at start may have used it up.
         for (int stops = 1; lineOfStop() == null && stops <= MAX_STOPS; stops++) {
-            front.signal("-STOP");
+            front.sendSignal("-STOP");
             Thread.sleep(700);
-            front.signal("-CONT");
+            front.sendSignal("-CONT");
             Thread.sleep(700);
         }
         assertTrue(lineOfStop() != null, front.log::toString);
@@ -174,7 +174,7 @@
     void blockedLogPipeCausesNoStalls() throws Exception {
         Path pipe = Files.createTempDirectory("reedspring").resolve("log");
         journal = open(new JournalStandIn());
-        front = open(Program.withFullLog(Program.config(Program.freeAddress(), journal.address(),
+        front = open(Program.withFullLogPipe(Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine(1).address(), "ready"))), pipe));
         await("the front to serve", () -> {
             try {
--- a/src/test/java/reedspring/net/Started.java
+++ b/src/test/java/reedspring/net/Started.java
@@ -42,7 +42,7 @@
     }
 
     final Client client() throws IOException {
-        return open(front.client());
+        return open(front.connectClient());
     }
 
     /** Starts a front with these engines, named e0, e1 and so on. */
@@ -56,14 +56,14 @@
 
     final void startWith(String... hosts) throws Exception {
         journal = open(new JournalStandIn());
-        front = open(new Program(Program.config(Program.freeAddress(), journal.address(),
-                event(1, true, hosts)))).ready();
+        front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
+                event(1, true, hosts)))).awaitReady();
     }
 
     /** Checks that a query on a new connection is answered. */
     final void serves() throws IOException {
         String trace = Client.trace();
-        try (Client fresh = front.client()) {
+        try (Client fresh = front.connectClient()) {
             String rows = Client.rows(fresh.send(Client.query(1, trace, PATIENCE, "select 1")).read());
             assertTrue(rows != null && rows.startsWith(EngineStandIn.page(trace, 0)), rows);
         }
@@ -71,8 +71,8 @@
 
     final void startHeedingCancels(EngineStandIn engine) throws Exception {
         journal = open(new JournalStandIn());
-        String config = Program.config(Program.freeAddress(), journal.address(),
+        String config = Program.configJson(Program.freeAddress(), journal.address(),
                 event(1, true, host("e0", engine.address(), "ready")));
-        front = open(new Program(config.replace("\"cancel\":false", "\"cancel\":true"))).ready();
+        front = open(new Program(config.replace("\"cancel\":false", "\"cancel\":true"))).awaitReady();
     }
 }
