--- a/src/rig/java/reedspring/rig/ClassArchive.java
+++ b/src/rig/java/reedspring/rig/ClassArchive.java
@@ -17,18 +17,19 @@
 
     public static void main(String[] args) throws Exception {
         try (JournalStandIn journal = new JournalStandIn();
-                EngineStandIn engine = new EngineStandIn(EngineStandIn.pages(3));
+                EngineStandIn engine = new EngineStandIn(EngineStandIn.answerWithPages(3));
                 EngineStandIn nonConforming = new EngineStandIn(command -> command.answerRaw("+PONG\r\n"));
                 Program program = new Program(Program.configJson(Program.freeAddress(), journal.address(),
-                        JournalStandIn.event(1, true, JournalStandIn.host("e0", engine.address(), "ready"),
-                                JournalStandIn.host("e1", nonConforming.address(), "ready"),
-                                JournalStandIn.host("e2", Program.freeAddress(), "ready"))),
+                        JournalStandIn.event(1, true,
+                                JournalStandIn.engineRow("e0", engine.address(), "ready"),
+                                JournalStandIn.engineRow("e1", nonConforming.address(), "ready"),
+                                JournalStandIn.engineRow("e2", Program.freeAddress(), "ready"))),
                         Path.of("."), List.of("/bin/sh", "-c", Program.runCommand(Path.of("."))
                                 .replace("-XX:SharedArchiveFile=", "-XX:ArchiveClassesAtExit=")));
                 Client client = program.awaitReady().connectClient()) {
-            Rig.await("the journal request", () -> !journal.calledFrom.isEmpty());
+            Rig.await("the journal request", () -> !journal.requestPositions.isEmpty());
             journal.send("id: 2\ndata: " + JournalStandIn.event(2, false,
-                    JournalStandIn.host("e1", nonConforming.address(), "draining")) + "\n\n");
+                    JournalStandIn.engineRow("e1", nonConforming.address(), "draining")) + "\n\n");
             client.send(Client.pack(List.of(0, 1, "heartbeat", List.of(Map.of())))).read();
             // Loads the classes of later operations too: reading them from the jar is slow on half a core.
             program.reload(Program.configJson(program.listenAddress, journal.address()));
@@ -39,7 +40,7 @@
                 client.send(Client.query(id, Client.trace(), 2000, statement)).read();
             }
             program.process.toHandle().destroy();
-            Rig.require(program.process.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS),
+            Rig.require(program.process.waitFor(Rig.TIMEOUT_S, TimeUnit.SECONDS),
                     "the front did not exit after SIGTERM");
         } catch (IOException | AssertionError e) {
             System.err.println("no class archive: " + e);
--- a/src/rig/java/reedspring/rig/Client.java
+++ b/src/rig/java/reedspring/rig/Client.java
@@ -53,7 +53,7 @@
         }
         socket.connect(serverAddress, CONNECT_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout((int) Rig.PATIENCE_S * 1000);
+        socket.setSoTimeout((int) Rig.TIMEOUT_S * 1000);
         in = new DataInputStream(bytesPerSecond < Integer.MAX_VALUE
                 ? new ThrottledInputStream(socket.getInputStream(), bytesPerSecond)
                 : new BufferedInputStream(socket.getInputStream()));
--- a/src/rig/java/reedspring/rig/EngineStandIn.java
+++ b/src/rig/java/reedspring/rig/EngineStandIn.java
@@ -18,10 +18,10 @@
     /**
      * A received command.
      *
-     * @param from the connection that it was received on, which also takes its answer
-     * @param at when its first byte arrived, in {@link System#nanoTime()}
+     * @param connection the connection that it was received on, which also takes its answer
+     * @param firstByteNanos when its first byte arrived, in {@link System#nanoTime()}
      */
-    public record Command(List<String> words, Socket from, long at) {
+    public record Command(List<String> words, Socket connection, long firstByteNanos) {
         public String word() {
             return words.get(0);
         }
@@ -31,18 +31,18 @@
         }
 
         public void answer(String word, String fields, String body) {
-            answerRaw(text(id(), word, fields, body));
+            answerRaw(encodeAnswer(id(), word, fields, body));
         }
 
         /** An answer in its wire format. */
-        public static String text(String id, String word, String fields, String body) {
+        public static String encodeAnswer(String id, String word, String fields, String body) {
             return "*4" + bulk(id) + bulk(word) + bulk(fields) + bulk(body) + "\r\n";
         }
 
         public void answerRaw(String text) {
             try {
-                synchronized (from) {
-                    from.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+                synchronized (connection) {
+                    connection.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
                 }
             } catch (IOException e) {
                 // the front has closed the connection, which tests observe on the server
@@ -61,8 +61,8 @@
     private final Consumer<Command> commandHandler;
     private final Consumer<Socket> closeListener;
     /** Commands that could not be parsed: the words before the parse error. */
-    public final List<String> malformed = Collections.synchronizedList(new ArrayList<>());
-    public final List<Command> seen = Collections.synchronizedList(new ArrayList<>());
+    public final List<String> malformedCommands = Collections.synchronizedList(new ArrayList<>());
+    public final List<Command> received = Collections.synchronizedList(new ArrayList<>());
 
     public EngineStandIn(Consumer<Command> commandHandler) throws IOException {
         this(0, commandHandler);
@@ -87,11 +87,11 @@
     }
 
     /**
-     * Creates an engine to which no connection is established before {@link #comesUp}: its listen backlog is
-     * full and nothing accepts. Connections begun meanwhile are established when the kernel retransmits the
-     * SYN, one or three seconds later.
+     * Creates an engine to which no connection is established before {@link #acceptConnections}: its listen
+     * backlog is full and nothing accepts. Connections begun meanwhile are established when the kernel
+     * retransmits the SYN, one or three seconds later.
      */
-    public static EngineStandIn late(Consumer<Command> commandHandler) throws IOException {
+    public static EngineStandIn withFullBacklog(Consumer<Command> commandHandler) throws IOException {
         EngineStandIn engine = new EngineStandIn(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()),
                 commandHandler);
         for (boolean backlogFull = false; !backlogFull; ) {
@@ -108,7 +108,7 @@
     }
 
     /** Starts to accept connections and frees the backlog. */
-    public void comesUp() throws IOException {
+    public void acceptConnections() throws IOException {
         startAccepting();
         for (Socket connection : backlog) {
             connection.close();
@@ -126,14 +126,14 @@
         return socket.getLocalPort();
     }
 
-    public List<Command> seen(String word) {
-        synchronized (seen) {
-            return seen.stream().filter(command -> command.word().equals(word)).toList();
+    public List<Command> received(String word) {
+        synchronized (received) {
+            return received.stream().filter(command -> command.word().equals(word)).toList();
         }
     }
 
     /** Answers each query at once with {@code count} pages; their rows hold query id and page number. */
-    public static Consumer<Command> pages(int count) {
+    public static Consumer<Command> answerWithPages(int count) {
         return command -> {
             if (command.word().equals("fetch")) {
                 command.answer("data", "sheets=" + count + ",toil=3.5,room=12", page(command.id(), 0));
@@ -157,7 +157,7 @@
                 readCommand(in, words, peer);
             } catch (AssertionError e) {
                 // An engine closes the connection on a protocol error.
-                malformed.add(words.toString());
+                malformedCommands.add(words.toString());
                 peer.close();
                 throw e;
             }
@@ -174,7 +174,7 @@
             words.add(new String(word, StandardCharsets.ISO_8859_1));
         }
         Command command = new Command(words, peer, firstByteNanos);
-        seen.add(command);
+        received.add(command);
         commandHandler.accept(command);
     }
 
--- a/src/rig/java/reedspring/rig/JournalStandIn.java
+++ b/src/rig/java/reedspring/rig/JournalStandIn.java
@@ -15,15 +15,15 @@
  */
 public final class JournalStandIn extends Server {
     /** The {@code Last-Event-ID} of each request, empty if it had none. */
-    public final List<String> calledFrom = new CopyOnWriteArrayList<>();
+    public final List<String> requestPositions = new CopyOnWriteArrayList<>();
     /** When each request was received, in {@link System#nanoTime()}. */
-    public final List<Long> calledAt = new CopyOnWriteArrayList<>();
+    public final List<Long> requestNanos = new CopyOnWriteArrayList<>();
     private final List<String> events = new ArrayList<>();
     /** Held during a write, so that texts sent by several threads do not interleave. */
     private final Object sendLock = new Object();
     private StringBuilder batch;
     /** Delay between a request and its response. */
-    public volatile long answersAfterMs;
+    public volatile long responseDelayMs;
 
     public JournalStandIn() throws IOException {
         this(0);
@@ -42,12 +42,12 @@
             lastEventId = line.toLowerCase().startsWith("last-event-id:") ? line.substring(14).trim()
                     : lastEventId;
         }
-        pause(answersAfterMs);
+        pause(responseDelayMs);
         peer.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n"
                 .getBytes(StandardCharsets.US_ASCII));
         synchronized (events) {
-            calledFrom.add(lastEventId);
-            calledAt.add(System.nanoTime());
+            requestPositions.add(lastEventId);
+            requestNanos.add(System.nanoTime());
             for (int pos = lastEventId.isEmpty() ? 0 : Integer.parseInt(lastEventId); pos < events.size();
                     pos++) {
                 peer.getOutputStream().write(events.get(pos).getBytes(StandardCharsets.UTF_8));
@@ -64,7 +64,7 @@
     }
 
     /** Publishes the next event, to the open request and to later ones from an earlier position. */
-    public void tell(boolean whole, String... hosts) {
+    public void publish(boolean whole, String... hosts) {
         synchronized (events) {
             int pos = events.size() + 1;
             events.add("id: " + pos + "\ndata: " + event(pos, whole, hosts) + "\n\n");
@@ -76,7 +76,7 @@
      * Sends all events that {@code publisher} publishes in a single write. The write happens outside the lock
      * on the events, so that a slow reader does not block other publishers.
      */
-    public void together(Runnable publisher) {
+    public void publishInOneWrite(Runnable publisher) {
         String batchText;
         synchronized (events) {
             batch = new StringBuilder();
@@ -95,7 +95,7 @@
     }
 
     /** Sends a keep-alive comment if a request is open. */
-    public void comment() {
+    public void sendKeepAlive() {
         synchronized (events) {
             sendOrBatch(":\n");
         }
@@ -121,22 +121,22 @@
     }
 
     /** Waits for the end of the stream and returns whether the caller closed {@code request}. */
-    public boolean ended(int request) throws IOException {
-        accepted.get(request).setSoTimeout((int) Rig.PATIENCE_S * 1000);
+    public boolean closedByCaller(int request) throws IOException {
+        accepted.get(request).setSoTimeout((int) Rig.TIMEOUT_S * 1000);
         return accepted.get(request).getInputStream().read() < 0;
     }
 
-    /** The data of an event whose rows, made by {@code host}, list engines. */
+    /** The data of an event whose rows, made by {@link #engineRow}, list engines. */
     public static String event(int pos, boolean whole, String... hosts) {
         return "{\"pos\":" + pos + ",\"hosts\":{\"seq\":" + pos + ",\"whole\":" + whole + ",\"hosts\":["
                 + String.join(",", hosts) + "]}}";
     }
 
-    public static String host(String name, String address, String health) {
-        return host(name, address, "a", "m", health, 0);
+    public static String engineRow(String name, String address, String health) {
+        return engineRow(name, address, "a", "m", health, 0);
     }
 
-    public static String host(String name, String address, String site, String kind, String health,
+    public static String engineRow(String name, String address, String site, String kind, String health,
             long bornMs) {
         return "{\"host\":\"" + name + "\",\"dial\":\"" + address + "\",\"site\":\"" + site
                 + "\",\"class\":\""
--- a/src/rig/java/reedspring/rig/Keeps.java
+++ b/src/rig/java/reedspring/rig/Keeps.java
@@ -1,7 +1,7 @@
 package reedspring.rig;
 
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -52,8 +52,8 @@
     /** Handles a command. The engine is busy from a query's arrival until its last page has been fetched. */
     private void handleCommand(EngineStandIn.Command command) {
         if (command.word().equals("fetch")) {
-            fetchNanos.put(command.id(), command.at());
-            EngineStandIn.pages(command.words().get(3).equals("large") ? LARGE_ANSWER_PAGES : 1)
+            fetchNanos.put(command.id(), command.firstByteNanos());
+            EngineStandIn.answerWithPages(command.words().get(3).equals("large") ? LARGE_ANSWER_PAGES : 1)
                     .accept(command);
             if (!command.words().get(3).equals("large")) {
                 fetchNanos.remove(command.id());
@@ -62,13 +62,13 @@
             Long startNanos = fetchNanos.remove(command.id());
             engineBusyNanos.addAndGet(startNanos == null ? 0 : System.nanoTime() - startNanos);
         } else {
-            EngineStandIn.pages(LARGE_ANSWER_PAGES).accept(command);
+            EngineStandIn.answerWithPages(LARGE_ANSWER_PAGES).accept(command);
         }
     }
 
     private void start() throws Exception {
         front = Program.withSettings(Program.configJson(listen, journal.address(),
-                event(1, true, host("e0", engine.address(), "ready"))), directory.resolve("own.ini"))
+                event(1, true, engineRow("e0", engine.address(), "ready"))), directory.resolve("own.ini"))
                 .awaitReady();
         Rig.await("the recovery of the spool", () -> front.logged("answers found"));
     }
--- a/src/rig/java/reedspring/rig/Rig.java
+++ b/src/rig/java/reedspring/rig/Rig.java
@@ -8,13 +8,13 @@
  */
 public final class Rig {
     /** How long a check waits for its condition. */
-    public static final long PATIENCE_S = 20;
+    public static final long TIMEOUT_S = 20;
     /** Lane of this rig, 0 to 3. Rigs that run in parallel need different lanes to have separate ports. */
     public static final int LANE = Math.floorMod(Integer.getInteger("rig.lane", 0), 4);
 
     /** Polls until {@code probe} gives a value other than null and false, and returns it. */
     public static <T> T await(String description, Supplier<T> probe) throws InterruptedException {
-        for (long deadline = System.nanoTime() + PATIENCE_S * 1_000_000_000L;
+        for (long deadline = System.nanoTime() + TIMEOUT_S * 1_000_000_000L;
                 System.nanoTime() < deadline; ) {
             T value = probe.get();
             if (value != null && !Boolean.FALSE.equals(value)) {
--- a/src/rig/java/reedspring/rig/Server.java
+++ b/src/rig/java/reedspring/rig/Server.java
@@ -13,9 +13,9 @@
     final ServerSocket socket;
     public final List<Socket> accepted = new CopyOnWriteArrayList<>();
     /** Accepted connections that the peer has closed. */
-    public final List<Socket> left = new CopyOnWriteArrayList<>();
+    public final List<Socket> closedByPeer = new CopyOnWriteArrayList<>();
     /** Connections over this number are reset when they are accepted. */
-    public volatile int mostConnections = Integer.MAX_VALUE;
+    public volatile int maxConnections = Integer.MAX_VALUE;
 
     Server(int port) throws IOException {
         this(new ServerSocket(port, 64, InetAddress.getLoopbackAddress()));
@@ -31,7 +31,7 @@
         runInBackground(() -> {
             while (true) {
                 Socket connection = socket.accept();
-                if (accepted.size() - left.size() >= mostConnections) {
+                if (accepted.size() - closedByPeer.size() >= maxConnections) {
                     connection.setSoLinger(true, 0);
                     connection.close();
                     continue;
@@ -42,7 +42,7 @@
                     try {
                         serve(connection);
                     } catch (IOException e) {
-                        left.add(connection);
+                        closedByPeer.add(connection);
                         onClosed(connection);
                     }
                 });
@@ -78,7 +78,7 @@
     }
 
     /** Resets all connections (RST), as when the peer of the front is killed. */
-    public void reset() throws IOException {
+    public void resetConnections() throws IOException {
         for (Socket peer : accepted) {
             if (!peer.isClosed()) {
                 peer.setSoLinger(true, 0);
@@ -90,6 +90,6 @@
     @Override
     public void close() throws IOException {
         socket.close();
-        reset();
+        resetConnections();
     }
 }
--- a/src/rig/java/reedspring/rig/Starts.java
+++ b/src/rig/java/reedspring/rig/Starts.java
@@ -52,11 +52,11 @@
             String[] hosts = new String[ENGINES];
             for (int k = 0; k < ENGINES; k++) {
                 engines.add(new EngineStandIn(command -> load.schedule(
-                        () -> EngineStandIn.pages(2).accept(command), 30, TimeUnit.MILLISECONDS)));
-                hosts[k] = JournalStandIn.host("e" + k, engines.get(k).address(), "ready");
+                        () -> EngineStandIn.answerWithPages(2).accept(command), 30, TimeUnit.MILLISECONDS)));
+                hosts[k] = JournalStandIn.engineRow("e" + k, engines.get(k).address(), "ready");
             }
-            journal.tell(true, hosts);
-            load.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
+            journal.publish(true, hosts);
+            load.scheduleAtFixedRate(journal::sendKeepAlive, 0, 500, TimeUnit.MILLISECONDS);
             try (Program front = new Program(Program.configJson(Program.freeAddress(), journal.address(),
                     JournalStandIn.event(1, true, hosts)), home).awaitReady()) {
                 Map<String, Double> atReady = cpuSecondsByThread(front.process.pid());
--- a/src/rig/java/reedspring/rig/Stops.java
+++ b/src/rig/java/reedspring/rig/Stops.java
@@ -1,6 +1,6 @@
 package reedspring.rig;
 
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -83,12 +83,12 @@
             for (int k = 0; k < ENGINES; k++) {
                 fleet[k] = startEngine();
                 names[k] = "e" + k;
-                hosts[k] = host(names[k], fleet[k].address(), "ready");
+                hosts[k] = engineRow(names[k], fleet[k].address(), "ready");
             }
-            journal.tell(true, hosts);
+            journal.publish(true, hosts);
             front = new Program(Program.configJson(Program.freeAddress(), journal.address(),
                     JournalStandIn.event(1, true, hosts))).awaitReady();
-            scheduler.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
+            scheduler.scheduleAtFixedRate(journal::sendKeepAlive, 0, 500, TimeUnit.MILLISECONDS);
             for (int k = 0; k < CONNECTIONS; k++) {
                 loadClients.add(new LoadClient(front.connectClient()));
             }
@@ -99,10 +99,10 @@
             for (int k = 0; k < count; k++) {
                 int drained = random.nextInt(ENGINES);
                 drainAroundSuspension(names[drained], fleet[drained]);
-                String gone = host(names[drained], fleet[drained].address(), "gone");
+                String gone = engineRow(names[drained], fleet[drained].address(), "gone");
                 fleet[drained] = startEngine();
                 names[drained] = "e" + (ENGINES + k);
-                journal.tell(false, gone, host(names[drained], fleet[drained].address(), "ready"));
+                journal.publish(false, gone, engineRow(names[drained], fleet[drained].address(), "ready"));
             }
             load.cancel(false);
             Thread.sleep(QUERY_PATIENCE_MS + 2 * ANSWER_TOLERANCE_MS);
@@ -126,7 +126,7 @@
             synchronized (serviceTimes) {
                 serviceMs = 5 + serviceTimes.nextInt(75);
             }
-            scheduler.schedule(() -> EngineStandIn.pages(1).accept(command), serviceMs,
+            scheduler.schedule(() -> EngineStandIn.answerWithPages(1).accept(command), serviceMs,
                     TimeUnit.MILLISECONDS);
         });
         startedEngines.add(engine);
@@ -158,7 +158,7 @@
     }
 
     private void sendDrainNotice(String name, EngineStandIn engine) {
-        journal.tell(false, host(name, engine.address(), "draining"));
+        journal.publish(false, engineRow(name, engine.address(), "draining"));
         drains.add(new Drain(engine, System.nanoTime()));
     }
 
@@ -166,8 +166,8 @@
         int breaches = 0;
         long worstMs = 0;
         for (Drain drain : drains) {
-            for (EngineStandIn.Command sent : drain.engine.seen("fetch")) {
-                long afterNoticeMs = (sent.at() - drain.noticeSentNanos) / NANOS_PER_MS;
+            for (EngineStandIn.Command sent : drain.engine.received("fetch")) {
+                long afterNoticeMs = (sent.firstByteNanos() - drain.noticeSentNanos) / NANOS_PER_MS;
                 worstMs = Math.max(worstMs, afterNoticeMs);
                 breaches += afterNoticeMs > MAX_SEND_AFTER_DRAIN_MS ? 1 : 0;
             }
--- a/src/rig/java/reedspring/rig/fleet/Fleet.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleet.java
@@ -114,7 +114,7 @@
         }
 
         private String listing(SimulatedEngine engine, String health) {
-            return JournalStandIn.host(engine.name, engineLinks[engine.index].address(),
+            return JournalStandIn.engineRow(engine.name, engineLinks[engine.index].address(),
                     String.valueOf(timetable.site(engine.index)),
                     Terms.kind(timetable.cores(engine.index)), health, engine.startedAtMs);
         }
@@ -240,8 +240,8 @@
         for (int first = 0; first < fronts.size(); first += CONCURRENT_STARTS) {
             List<Front> batch = fronts.subList(first, Math.min(fronts.size(), first + CONCURRENT_STARTS));
             for (Front front : batch) {
-                front.journal.tell(true, engineSlots.stream().map(slot -> front.listing(slot.engine, "ready"))
-                        .toArray(String[]::new));
+                front.journal.publish(true, engineSlots.stream()
+                        .map(slot -> front.listing(slot.engine, "ready")).toArray(String[]::new));
                 front.start();
             }
             for (Front front : batch) {
@@ -256,8 +256,8 @@
         checker.runStarted(startedAt);
         stepScheduler.scheduleAtFixedRate(recordingFailure(this::stepEngines), STEP_MS, STEP_MS,
                 TimeUnit.MILLISECONDS);
-        scheduler.scheduleAtFixedRate(recordingFailure(() -> fronts.forEach(f -> f.journal.comment())), 0,
-                500, TimeUnit.MILLISECONDS);
+        scheduler.scheduleAtFixedRate(recordingFailure(() -> fronts.forEach(f -> f.journal.sendKeepAlive())),
+                0, 500, TimeUnit.MILLISECONDS);
         scheduler.scheduleAtFixedRate(recordingFailure(() ->
                 frontsWithFaultyClients.forEach(clients::runFaultyClients)), 100, 100, TimeUnit.MILLISECONDS);
         for (Entry entry : timetable.entries()) {
@@ -307,7 +307,7 @@
 
     /** The highest number of calls to the journals within 100 ms. */
     private int peakJournalCalls() {
-        long[] callTimes = fronts.stream().flatMap(f -> f.journal.calledAt.stream())
+        long[] callTimes = fronts.stream().flatMap(f -> f.journal.requestNanos.stream())
                 .mapToLong(Long::longValue)
                 .filter(at -> at > startedAt).sorted().toArray();
         int peak = 0;
@@ -591,7 +591,7 @@
                         ? e.byTicks() * ((front.index * 7 + engine.index * 3) % 8) / 80 : 0;
             }
             scheduler.schedule(recordingFailure(() -> {
-                front.journal.tell(false, front.listing(engine, health));
+                front.journal.publish(false, front.listing(engine, health));
                 checker.announced(front.index, engine.name, health);
             }), lagMs, TimeUnit.MILLISECONDS);
         }
--- a/src/rig/java/reedspring/rig/fleet/SimulatedClients.java
+++ b/src/rig/java/reedspring/rig/fleet/SimulatedClients.java
@@ -456,7 +456,7 @@
             }
         }
         for (Future<?> each : warmUps) {
-            each.get(Rig.PATIENCE_S, TimeUnit.SECONDS);
+            each.get(Rig.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
--- a/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
+++ b/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
@@ -56,7 +56,7 @@
             this.trace = command.id();
             this.front = front;
             this.engine = engine;
-            this.receivedAt = command.at();
+            this.receivedAt = command.firstByteNanos();
             this.workTicks = workTicks;
             this.command = command;
             Matcher ttlField = command.words().size() > 2 ? TTL_FIELD.matcher(command.words().get(2)) : null;
@@ -119,7 +119,7 @@
                 startedAtMs == 0 ? 0 : Terms.COLD_RAMP_MS * 10L);
         this.random = new SplittableRandom(name.hashCode());
         this.server = new EngineStandIn(0, this::onCommand, this::onConnectionClosed);
-        server.mostConnections = MAX_CONNECTIONS;
+        server.maxConnections = MAX_CONNECTIONS;
     }
 
     private static long nowTicks() {
@@ -131,7 +131,7 @@
     }
 
     private synchronized void onCommand(EngineStandIn.Command command) {
-        lastUsedAt.put(command.from(), System.nanoTime());
+        lastUsedAt.put(command.connection(), System.nanoTime());
         if (command.word().equals("alive")) {
             if (!silent && !hanging) {
                 command.answer("well", "-", "");
@@ -152,7 +152,7 @@
         }
         double workTicks = 10 * Double.parseDouble(statementCosts.group(1));
         // The fault proxy connects from a source address of its own for each front.
-        int front = command.from().getInetAddress().getAddress()[3] - 1 & 0xff;
+        int front = command.connection().getInetAddress().getAddress()[3] - 1 & 0xff;
         Submission submission = new Submission(command, front, name, workTicks);
         submissions.add(submission);
         if (failing) {
@@ -173,7 +173,7 @@
             return;
         }
         if (malforming && random.nextInt(MALFORMED_ONE_IN) == 0) {
-            String text = EngineStandIn.Command.text(submission.trace, word, fields, body);
+            String text = EngineStandIn.Command.encodeAnswer(submission.trace, word, fields, body);
             submission.command.answerRaw(random.nextBoolean() ? "*4\r\n$x\r\n" : text.substring(0,
                     text.length() / 2));
             return;
@@ -203,7 +203,8 @@
     private void closeIdleConnections() {
         for (Socket peer : server.accepted) {
             Long usedAt = lastUsedAt.get(peer);
-            boolean busy = submissions.stream().anyMatch(a -> a.endedAt == 0 && a.command.from() == peer);
+            boolean busy = submissions.stream()
+                    .anyMatch(a -> a.endedAt == 0 && a.command.connection() == peer);
             if (!peer.isClosed() && usedAt != null && !busy && System.nanoTime() - usedAt > IDLE_TIMEOUT_NS) {
                 lastUsedAt.remove(peer);
                 try {
@@ -220,7 +221,7 @@
 
     /** A closed connection abandons its submissions; their execution goes on in the engine. */
     private synchronized void onConnectionClosed(Socket peer) {
-        submissions.stream().filter(a -> a.endedAt == 0 && a.command.from() == peer).forEach(a -> a
+        submissions.stream().filter(a -> a.endedAt == 0 && a.command.connection() == peer).forEach(a -> a
                 .finish("given up"));
     }
 
@@ -315,7 +316,7 @@
     /** Malformed commands, and commands that no client of this rig can have caused. */
     synchronized List<String> unexpectedCommands() {
         List<String> unexpected = new ArrayList<>(unexpectedCommands);
-        unexpected.addAll(List.copyOf(server.malformed));
+        unexpected.addAll(List.copyOf(server.malformedCommands));
         return unexpected;
     }
 
--- a/src/rig/java/reedspring/rig/scale/ChildMain.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -275,7 +275,8 @@
 
             private void answer(ChannelHandlerContext ctx, String id, String command, String fields,
                                 String body) {
-                ctx.writeAndFlush(Unpooled.copiedBuffer(EngineStandIn.Command.text(id, command, fields, body),
+                ctx.writeAndFlush(Unpooled.copiedBuffer(
+                        EngineStandIn.Command.encodeAnswer(id, command, fields, body),
                         StandardCharsets.ISO_8859_1));
             }
 
--- a/src/rig/java/reedspring/rig/scale/JournalService.java
+++ b/src/rig/java/reedspring/rig/scale/JournalService.java
@@ -302,7 +302,7 @@
     /** The list entry of one engine. */
     record Row(String engine, String address, String zone, String kind, String health, long bornMs) {
         String toJson() {
-            return JournalStandIn.host(engine, address, zone, kind, health, bornMs);
+            return JournalStandIn.engineRow(engine, address, zone, kind, health, bornMs);
         }
     }
 
--- a/src/rig/java/reedspring/rig/scale/MeasuredFront.java
+++ b/src/rig/java/reedspring/rig/scale/MeasuredFront.java
@@ -41,11 +41,11 @@
     MeasuredFront() throws IOException, InterruptedException {
         String[] hosts = new String[ENGINES];
         for (int k = 0; k < ENGINES; k++) {
-            engines.add(new EngineStandIn(EngineStandIn.pages(1)));
-            hosts[k] = JournalStandIn.host("e" + k, engines.get(k).address(), "ready");
+            engines.add(new EngineStandIn(EngineStandIn.answerWithPages(1)));
+            hosts[k] = JournalStandIn.engineRow("e" + k, engines.get(k).address(), "ready");
         }
-        journal.tell(true, hosts);
-        journalCommentExecutor.scheduleAtFixedRate(journal::comment, 0, 1, TimeUnit.SECONDS);
+        journal.publish(true, hosts);
+        journalCommentExecutor.scheduleAtFixedRate(journal::sendKeepAlive, 0, 1, TimeUnit.SECONDS);
         front = new Program(Program.configJson(Program.freeAddress(), journal.address(),
                 JournalStandIn.event(1, true, hosts)).replace("\"sockets\":1024", "\"sockets\":"
                 + SOCKET_LIMIT)
--- a/src/test/java/reedspring/net/AcceptIT.java
+++ b/src/test/java/reedspring/net/AcceptIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 
 import java.util.List;
 import net.jqwik.api.Example;
@@ -26,7 +26,7 @@
         shim = open(new FaultShim());
         journal = open(new JournalStandIn());
         front = open(Program.withShim(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready"))), shim)).awaitReady();
+                event(1, true, engineRow("e0", engine.address(), "ready"))), shim)).awaitReady();
         serves();
     }
 
--- a/src/test/java/reedspring/net/CrossingsIT.java
+++ b/src/test/java/reedspring/net/CrossingsIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import java.io.IOException;
@@ -73,7 +73,7 @@
         EngineStandIn engine = holdingEngine(held);
         journal = open(new JournalStandIn());
         front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready")))
+                event(1, true, engineRow("e0", engine.address(), "ready")))
                 .replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""))).awaitReady();
         Client client = client().send(Client.query(1, Client.trace(), PATIENCE, "insert"));
         await("the query at the engine", () -> held.size() == 1);
@@ -113,9 +113,9 @@
             Thread.sleep(100);
         }
         await("the second query at the engine", () -> held.size() == 2);
-        EngineStandIn.pages(1).accept(held.get(0));
+        EngineStandIn.answerWithPages(1).accept(held.get(0));
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(client.read()));
-        EngineStandIn.pages(1).accept(held.get(1));
+        EngineStandIn.answerWithPages(1).accept(held.get(1));
         assertNotEquals(null, Client.rows(client.read()));
     }
 
@@ -129,7 +129,7 @@
         await("the query at the engine", () -> held.size() == 1);
         client.send(Arrays.copyOf(Client.query(2, Client.trace(), PATIENCE, "select"), 30));
         Thread.sleep(2_500);
-        EngineStandIn.pages(1).accept(held.get(0));
+        EngineStandIn.answerWithPages(1).accept(held.get(0));
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(client.read()));
         assertTrue(client.closedByFront(), "the unfinished message is given up");
     }
@@ -142,13 +142,14 @@
         EngineStandIn first = engine(1);
         EngineStandIn second = engine(1);
         journal = open(new JournalStandIn());
-        journal.answersAfterMs = 3_000;
-        journal.tell(true, host("e0", first.address(), "ready"));
-        journal.tell(false, host("e0", first.address(), "draining"), host("e1", second.address(), "ready"));
+        journal.responseDelayMs = 3_000;
+        journal.publish(true, engineRow("e0", first.address(), "ready"));
+        journal.publish(false, engineRow("e0", first.address(), "draining"),
+                engineRow("e1", second.address(), "ready"));
         long began = System.nanoTime();
         front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", first.address(), "ready"))))).awaitReady();
-        await("the new engine in use", () -> served() && !second.seen("fetch").isEmpty());
+                event(1, true, engineRow("e0", first.address(), "ready"))))).awaitReady();
+        await("the new engine in use", () -> served() && !second.received("fetch").isEmpty());
         long tookMs = (System.nanoTime() - began) / 1_000_000;
         assertTrue(tookMs < 7_000, "the list has to be in effect after 7 s: " + tookMs);
     }
@@ -159,15 +160,16 @@
         EngineStandIn first = engine(1);
         EngineStandIn second = engine(1);
         journal = open(new JournalStandIn());
-        journal.tell(true, host("e0", first.address(), "ready"));
-        journal.tell(false, host("e0", first.address(), "no such state"));
-        journal.tell(false, host("e0", first.address(), "draining"), host("e1", second.address(), "ready"));
+        journal.publish(true, engineRow("e0", first.address(), "ready"));
+        journal.publish(false, engineRow("e0", first.address(), "no such state"));
+        journal.publish(false, engineRow("e0", first.address(), "draining"),
+                engineRow("e1", second.address(), "ready"));
         front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", first.address(), "ready"))))).awaitReady();
-        await("the new engine in use", () -> served() && !second.seen("fetch").isEmpty());
-        int before = first.seen("fetch").size();
+                event(1, true, engineRow("e0", first.address(), "ready"))))).awaitReady();
+        await("the new engine in use", () -> served() && !second.received("fetch").isEmpty());
+        int before = first.received("fetch").size();
         serves();
-        assertEquals(before, first.seen("fetch").size(), "sent to a draining engine");
+        assertEquals(before, first.received("fetch").size(), "sent to a draining engine");
     }
 
     /** The configuration file is missing when SIGHUP arrives, and no further signal follows. */
@@ -181,7 +183,7 @@
         front.sendSignal("-HUP");
         await("the log line", () -> front.logged("configuration can't be used, nothing changed"));
         Files.move(away, front.configFile(), StandardCopyOption.REPLACE_EXISTING);
-        await("the subscription at the new address", () -> !next.calledFrom.isEmpty());
+        await("the subscription at the new address", () -> !next.requestPositions.isEmpty());
     }
 
     // ---- start and submissions
@@ -196,8 +198,8 @@
                 + 1)),
                 1, InetAddress.getLoopbackAddress())) {
             front = open(new Program(Program.configJson(listen, journal.address(),
-                    event(1, true, host("e0", engine.address(), "ready")))));
-            await("the subscription", () -> !journal.calledFrom.isEmpty() || !front.process.isAlive());
+                    event(1, true, engineRow("e0", engine.address(), "ready")))));
+            await("the subscription", () -> !journal.requestPositions.isEmpty() || !front.process.isAlive());
             Thread.sleep(500);
             assertTrue(before.isBound());
         }
@@ -208,14 +210,14 @@
     /** A mutating query that was never sent was answered as if it might have run. */
     @Example
     void unsentMutatingQueryIsSafeToRetry() throws Exception {
-        EngineStandIn late = open(EngineStandIn.late(EngineStandIn.pages(1)));
+        EngineStandIn late = open(EngineStandIn.withFullBacklog(EngineStandIn.answerWithPages(1)));
         journal = open(new JournalStandIn());
         front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", late.address(), "ready")))
+                event(1, true, engineRow("e0", late.address(), "ready")))
                 .replace("\"effect\":\"repeatable\"", "\"effect\":\"once\"")
                 .replace("\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":4000.0"))).awaitReady();
         List<?> answer = client().send(Client.query(1, Client.trace(), 800, "insert")).read();
         assertEquals("Shed", Client.error(answer));
-        assertTrue(late.seen("fetch").isEmpty());
+        assertTrue(late.received("fetch").isEmpty());
     }
 }
--- a/src/test/java/reedspring/net/DeadlineIT.java
+++ b/src/test/java/reedspring/net/DeadlineIT.java
@@ -52,12 +52,12 @@
 
     /** Checks that all queries reached the engine, each with a deadline within what its client had left. */
     private void assertDeadlinesWithinLimit(int queries, String situation) throws Exception {
-        await("all queries at the engine, " + situation, () -> engine.seen("fetch").stream()
+        await("all queries at the engine, " + situation, () -> engine.received("fetch").stream()
                 .filter(c -> sentAt.containsKey(c.id())).count() >= queries);
-        for (EngineStandIn.Command fetch : engine.seen("fetch")) {
+        for (EngineStandIn.Command fetch : engine.received("fetch")) {
             Long sent = sentAt.get(fetch.id());
             if (sent != null) {
-                long leftMs = CLIENT_TIMEOUT_MS - (fetch.at() - sent) / 1_000_000;
+                long leftMs = CLIENT_TIMEOUT_MS - (fetch.firstByteNanos() - sent) / 1_000_000;
                 long ttlMs = Long.parseLong(fetch.words().get(2).replaceAll(".*ttl=(\\d+).*", "$1"));
                 assertTrue(ttlMs - leftMs <= MAX_EXCESS_MS,
                         situation + ": sent " + ttlMs + " ms, left " + leftMs);
@@ -145,7 +145,7 @@
         });
         String trace = sentAt.keySet().iterator().next();
         assertDeadlinesWithinLimit(1, "fragmented");
-        EngineStandIn.Command fetch = engine.seen("fetch").stream().filter(c ->
+        EngineStandIn.Command fetch = engine.received("fetch").stream().filter(c ->
                 c.id().equals(trace)).findFirst()
                 .orElseThrow();
         long ttlMs = Long.parseLong(fetch.words().get(2).replaceAll(".*ttl=(\\d+).*", "$1"));
--- a/src/test/java/reedspring/net/DeadlineMissesIT.java
+++ b/src/test/java/reedspring/net/DeadlineMissesIT.java
@@ -46,7 +46,7 @@
         start(engine);
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, CLIENT_TIMEOUT_MS, "select"));
-        await("it at the engine", () -> engine.seen("fetch").size() == 1);
+        await("it at the engine", () -> engine.received("fetch").size() == 1);
         stopPastDeadline(300, () -> { });
         assertEquals("Shed", Client.error(client.read()));
         String line = awaitLine("answer late", trace);
@@ -65,7 +65,7 @@
         String traceInTime = Client.trace();
         Client client = client().send(Client.query(1, trace, CLIENT_TIMEOUT_MS, "select"));
         Client clientInTime = client().send(Client.query(1, traceInTime, PATIENCE, "select"));
-        await("both at the engine", () -> engine.seen("fetch").size() == 2);
+        await("both at the engine", () -> engine.received("fetch").size() == 2);
         stopPastDeadline(200, () -> {
             client.close();
             clientInTime.close();
@@ -81,7 +81,7 @@
         start(engine);
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, PATIENCE, "select"));
-        await("it at the engine", () -> engine.seen("fetch").size() == 1);
+        await("it at the engine", () -> engine.received("fetch").size() == 1);
         client.send(new byte[] {(byte) 0xc1});
         assertEquals("Shed", Client.error(client.read()));
         assertTrue(client.closedByFront());
@@ -100,7 +100,7 @@
             traces.add(Client.trace());
             client.send(Client.query(id, traces.get(id - 1), CLIENT_TIMEOUT_MS, "select"));
         }
-        await("a query at the engine", () -> !engine.seen("fetch").isEmpty());
+        await("a query at the engine", () -> !engine.received("fetch").isEmpty());
         stopPastDeadline(300, () -> { });
         client.read(traces.size());
         await("the count of the others", () -> front.logged("answer late, details omitted"));
@@ -112,7 +112,7 @@
         EngineStandIn engine = engine(1);
         start(engine);
         serves();
-        EngineStandIn.Command first = engine.seen("fetch").get(0);
+        EngineStandIn.Command first = engine.received("fetch").get(0);
         Client client = client().send(Client.query(1, Client.trace(), CLIENT_TIMEOUT_MS, "select"));
         client.read();
         client.close();
--- a/src/test/java/reedspring/net/EndingsIT.java
+++ b/src/test/java/reedspring/net/EndingsIT.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import java.io.IOException;
@@ -38,7 +38,7 @@
             throws Exception {
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready")));
+                event(1, true, engineRow("e0", engine.address(), "ready")));
         assertTrue(config.contains(replaced));
         front = open(new Program(config.replace(replaced, replacement))).awaitReady();
     }
@@ -54,7 +54,7 @@
             if (command.word().equals("fetch")) {
                 held.add(command);
             } else {
-                EngineStandIn.pages(7).accept(command);
+                EngineStandIn.answerWithPages(7).accept(command);
             }
         }));
     }
@@ -62,7 +62,8 @@
     /** A client with a small receive buffer: most of an answer stays in the front until it is read. */
     private Client clientWithSmallReceiveBuffer() throws IOException {
         return open(new Client(
-                Integer.parseInt(front.listenAddress.substring(front.listenAddress.indexOf(':') + 1)), 4_000_000));
+                Integer.parseInt(front.listenAddress.substring(front.listenAddress.indexOf(':') + 1)),
+                4_000_000));
     }
 
     private void whileStopped(Action action) throws Exception {
@@ -94,7 +95,7 @@
             client.send(Client.query(1, trace, PATIENCE, "select"),
                     Client.query(2, Client.trace(), PATIENCE, "open"));
             await("both queries at the engine", () -> held.size() == 2);
-            EngineStandIn.pages(7).accept(held.stream().filter(c -> c.id().equals(trace)).findAny()
+            EngineStandIn.answerWithPages(7).accept(held.stream().filter(c -> c.id().equals(trace)).findAny()
                     .orElseThrow());
             // The front reads the engine's answer in this time, so that the answer precedes the close.
             Thread.sleep(100);
@@ -127,7 +128,7 @@
         idle.send(Client.query(1, Client.trace(), PATIENCE, "crosses"), HEARTBEAT);
         assertTrue(front.process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, front.process.exitValue());
-        assertTrue(engine.seen("fetch").isEmpty(), "read and run after the shutdown");
+        assertTrue(engine.received("fetch").isEmpty(), "read and run after the shutdown");
     }
 
     /** A query sent before the front shut down its side is accepted, however long it lay unread. */
@@ -157,7 +158,7 @@
             silent.send(Client.query(id, Client.trace(), 9_000, "select"));
         }
         await("the queries at the engine", () -> held.size() == 16);
-        held.forEach(EngineStandIn.pages(7));
+        held.forEach(EngineStandIn.answerWithPages(7));
         long term = System.nanoTime();
         front.sendSignal("-TERM");
         Thread.sleep(Math.max(1, 3_050 - (System.nanoTime() - term) / 1_000_000));
@@ -209,7 +210,7 @@
             all.add(runAsync(() -> {
                 sleepUntil(term, readyAt[stage]);
                 held.stream().filter(c -> c.words().get(3).equals("stage" + stage))
-                        .forEach(EngineStandIn.pages(7));
+                        .forEach(EngineStandIn.answerWithPages(7));
                 sleepUntil(term, readyAt[stage] + 200);
                 for (List<?> answer : clients.get(stage).read(4).values()) {
                     // The last ones may be too late for the front to wait for; they are deferred.
@@ -245,7 +246,7 @@
             }
         }
         await("the queries at the engine", () -> held.size() == 6 * endsAndReadsAt.length);
-        held.forEach(EngineStandIn.pages(7));
+        held.forEach(EngineStandIn.answerWithPages(7));
         for (Client each : clients) {
             each.send(Client.query(7, Client.trace(), 9_000, "open"));
         }
@@ -333,7 +334,7 @@
         sleepUntil(term, 3_400);
         front.sendSignal("-CONT");
         assertEquals("Shed", Client.error(idle.read()));
-        assertTrue(engine.seen("fetch").isEmpty());
+        assertTrue(engine.received("fetch").isEmpty());
     }
 
     // ---- a client that leaves
@@ -347,7 +348,7 @@
         leaving.read();
         Client revoking = client().send(HEARTBEAT);
         revoking.read();
-        int before = engine.seen("fetch").size();
+        int before = engine.received("fetch").size();
         whileStopped(() -> {
             leaving.send(Client.query(1, Client.trace(), PATIENCE, "gone"));
             leaving.close();
@@ -356,7 +357,7 @@
         });
         serves();
         revoking.send(HEARTBEAT).read();
-        assertEquals(before + 1, engine.seen("fetch").size(), "run for a client that had left");
+        assertEquals(before + 1, engine.received("fetch").size(), "run for a client that had left");
     }
 
     /** If the front stopped reading from a client that doesn't read, it would miss its revoke and close. */
@@ -373,8 +374,8 @@
         client.send(Client.query(7, Client.trace(), PATIENCE, "fails"),
                 Client.query(8, Client.trace(), PATIENCE, "fails, too"));
         await("the queries at the engine", () -> held.size() == 8);
-        held.subList(0, 6).forEach(EngineStandIn.pages(7));
-        await("all pages asked for", () -> engine.seen("more").size() == 36);
+        held.subList(0, 6).forEach(EngineStandIn.answerWithPages(7));
+        await("all pages asked for", () -> engine.received("more").size() == 36);
         Thread.sleep(100);
         client.send(Client.pack(List.of(2, "revoke", List.of(7))));
         Thread.sleep(150);
@@ -395,7 +396,7 @@
     /** The query waits for a connection to its engine, its client leaves, then the connection opens. */
     @Example
     void queryWaitingForAConnectionIsNotSentAfterItsClientLeft() throws Exception {
-        EngineStandIn late = open(EngineStandIn.late(EngineStandIn.pages(1)));
+        EngineStandIn late = open(EngineStandIn.withFullBacklog(EngineStandIn.answerWithPages(1)));
         startWithConfigChange("\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":4000.0", late);
         Client leaving = client().send(Client.query(1, Client.trace(), PATIENCE, "gone"), HEARTBEAT);
         leaving.read();
@@ -403,9 +404,9 @@
         staying.read();
         leaving.close();
         Thread.sleep(100);
-        late.comesUp();
+        late.acceptConnections();
         assertNotEquals(null, Client.rows(staying.read()));
-        assertEquals(List.of("stays"), late.seen("fetch").stream().map(c -> c.words().get(3)).toList());
+        assertEquals(List.of("stays"), late.received("fetch").stream().map(c -> c.words().get(3)).toList());
     }
 
     // ---- submissions
@@ -432,7 +433,7 @@
         await("the second submission", () -> fetches.size() >= 2);
         Thread.sleep(300);
         assertEquals(2, fetches.size(), "a mutating query was sent while it ran");
-        EngineStandIn.pages(1).accept(fetches.get(1));
+        EngineStandIn.answerWithPages(1).accept(fetches.get(1));
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(client.read()));
     }
 
@@ -441,24 +442,24 @@
     void repeatIsNotSentAfterTheRecognitionWindow() throws Exception {
         List<EngineStandIn.Command> held = commandList();
         EngineStandIn first = holdingEngine(held);
-        EngineStandIn late = open(EngineStandIn.late(EngineStandIn.pages(1)));
+        EngineStandIn late = open(EngineStandIn.withFullBacklog(EngineStandIn.answerWithPages(1)));
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", first.address(), "ready")));
+                event(1, true, engineRow("e0", first.address(), "ready")));
         front = open(new Program(config.replace(REPEATABLE_EFFECT,
                 "\"effect\":\"by_key\",\"group\":\"all\",\"windowMs\":900.0").replace(
                         "\"connectTimeoutMs\":250.0", "\"connectTimeoutMs\":4000.0"))).awaitReady();
         Client client = client().send(Client.query(1, Client.trace(), PATIENCE, "insert"));
         await("the first run", () -> held.size() == 1);
-        await("the journal subscription", () -> !journal.calledFrom.isEmpty());
-        journal.send("id: 2\ndata: " + event(2, true, host("e1", late.address(), "ready")) + "\n\n");
+        await("the journal subscription", () -> !journal.requestPositions.isEmpty());
+        journal.send("id: 2\ndata: " + event(2, true, engineRow("e1", late.address(), "ready")) + "\n\n");
         client.send(HEARTBEAT).read();
         Thread.sleep(100);
         held.get(0).answer("failed", "-", "");
         Thread.sleep(200);
-        late.comesUp();
+        late.acceptConnections();
         assertEquals("Shed", Client.error(client.read()));
-        assertTrue(late.seen("fetch").isEmpty(), "sent after the recognition window");
+        assertTrue(late.received("fetch").isEmpty(), "sent after the recognition window");
         await("the log line", () -> front.logged("would no longer be recognised"));
     }
 
@@ -512,7 +513,7 @@
             });
             assertNotEquals(null, Client.rows(client.read()), "a mutating query with an unknown outcome");
         }
-        assertEquals(10, engine.seen("fetch").size());
+        assertEquals(10, engine.received("fetch").size());
     }
 
     // ---- the process
@@ -523,7 +524,7 @@
         EngineStandIn silent = silentEngine();
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", silent.address(), "ready")));
+                event(1, true, engineRow("e0", silent.address(), "ready")));
         String once = "{\"name\":\"load\",\"aimMs\":9000.0,\"deadlineMs\":30000.0,\"effect\":\"once\","
                 + "\"points\":1.0}";
         front = open(new Program(config.replace("\"aimMs\":900.0", "\"deadlineMs\":30000.0,\"aimMs\":900.0")
@@ -532,7 +533,7 @@
         Client client = client().send(Client.query(1, Client.trace(), 30_000, "select"),
                 Client.pack(List.of(0, 2, "load", List.of(Client.fields(Client.trace(), 30_000),
                         new byte[3]))));
-        await("both queries at the engine", () -> silent.seen("fetch").size() == 2);
+        await("both queries at the engine", () -> silent.received("fetch").size() == 2);
         long term = System.nanoTime();
         front.sendSignal("-TERM");
         await("the start of the shutdown", () -> front.logged("leaving"));
@@ -555,7 +556,7 @@
         String listen = Program.freeAddress();
         front = open(Program.withConfigPipe(listen));
         String config = Program.configJson(listen, before.address(),
-                event(1, true, host("e0", engine(1).address(), "ready")));
+                event(1, true, engineRow("e0", engine(1).address(), "ready")));
         front.writeConfigForLauncher(config);
         front.writeConfigToPipe(config, () -> {
             try {
@@ -572,7 +573,7 @@
             }
         });
         again.get(10, TimeUnit.SECONDS);
-        await("the subscription at the new address", () -> !after.calledFrom.isEmpty());
+        await("the subscription at the new address", () -> !after.requestPositions.isEmpty());
         serves();
     }
 
@@ -602,7 +603,7 @@
         String journalAt = Program.freeAddress();
         EngineStandIn engine = engine(1);
         String config = Program.configJson(Program.freeAddress(), journalAt,
-                event(1, true, host("e0", engine.address(), "draining")));
+                event(1, true, engineRow("e0", engine.address(), "draining")));
         front = open(Program.withDescriptorLimit(maxDescriptors, config.replace("\"sockets\":1024",
                 "\"sockets\":" + maxDescriptors)));
         front.awaitReady();
@@ -618,8 +619,8 @@
             assertTrue(count > maxDescriptors / 2 && count < maxDescriptors, count + " descriptors");
         }
         journal = open(new JournalStandIn(Integer.parseInt(journalAt.substring(journalAt.indexOf(':') + 1))));
-        await("the subscription", () -> !journal.calledFrom.isEmpty());
-        journal.send("id: 2\ndata: " + event(2, true, host("e1", engine.address(), "ready")) + "\n\n");
+        await("the subscription", () -> !journal.requestPositions.isEmpty());
+        journal.send("id: 2\ndata: " + event(2, true, engineRow("e1", engine.address(), "ready")) + "\n\n");
         await("a query served", () -> {
             try (Client fresh = front.connectClient()) {
                 return Client.rows(fresh.send(Client.query(1, Client.trace(), PATIENCE, "select")).read())
@@ -635,16 +636,16 @@
     @Example
     void journalAndEngineConnectionsAreRetriedAfterRunningOutOfDescriptors() throws Exception {
         start(engine(1));
-        await("the subscription", () -> journal.calledFrom.size() == 1);
+        await("the subscription", () -> journal.requestPositions.size() == 1);
         Client client = client().send(HEARTBEAT);
         client.read();
         front.limitDescriptors(10);
-        journal.reset();
+        journal.resetConnections();
         await("a failed connect", () -> front.logged("journal unreachable"));
         List<?> answer = client.send(Client.query(1, Client.trace(), 1_500, "select")).read();
         assertEquals("Shed", Client.error(answer), () -> "nothing ran: " + front.log);
         front.limitDescriptors(1024);
-        await("the next subscription", () -> journal.calledFrom.size() == 2);
+        await("the next subscription", () -> journal.requestPositions.size() == 2);
         await("a query served", () -> {
             try {
                 serves();
@@ -660,10 +661,10 @@
     @Example
     void silentJournalSubscriptionsAreRetriedSoon() throws Exception {
         start(engine(1));
-        await("the subscription", () -> journal.calledFrom.size() == 1);
-        await("three more subscriptions, each after a silence", () -> journal.calledAt.size() >= 4);
+        await("the subscription", () -> journal.requestPositions.size() == 1);
+        await("three more subscriptions, each after a silence", () -> journal.requestNanos.size() >= 4);
         for (int k = 1; k < 4; k++) {
-            long gap = (journal.calledAt.get(k) - journal.calledAt.get(k - 1)) / 1_000_000;
+            long gap = (journal.requestNanos.get(k) - journal.requestNanos.get(k - 1)) / 1_000_000;
             assertTrue(gap < 2_500, "silent for " + gap + " ms before the next subscription");
         }
     }
--- a/src/test/java/reedspring/net/FailingCallsIT.java
+++ b/src/test/java/reedspring/net/FailingCallsIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import java.nio.file.Files;
@@ -42,7 +42,7 @@
         journal = open(new JournalStandIn());
         engine = engine(1);
         front = open(Program.withShim(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready"))), shim));
+                event(1, true, engineRow("e0", engine.address(), "ready"))), shim));
     }
 
     private void assertServesDespite(Fault fault, long value) throws Exception {
@@ -123,8 +123,8 @@
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
             assertTrue(took < REPAIRED_WITHIN_MS, "query " + id + " answered after " + took + " ms");
             // The time for which the request lay unread counts towards its deadline.
-            EngineStandIn.Command sent = engine.seen("fetch").get(id);
-            long remainingMs = PATIENCE - TimeUnit.NANOSECONDS.toMillis(sent.at() - began);
+            EngineStandIn.Command sent = engine.received("fetch").get(id);
+            long remainingMs = PATIENCE - TimeUnit.NANOSECONDS.toMillis(sent.firstByteNanos() - began);
             long sentTtlMs = Long.parseLong(sent.words().get(2).replaceAll(".*ttl=([0-9]+).*", "$1"));
             assertTrue(sentTtlMs <= remainingMs + DEADLINE_TOLERANCE_MS,
                     "told " + sentTtlMs + " ms, its client has " + remainingMs);
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import io.netty.bootstrap.Bootstrap;
@@ -75,10 +75,10 @@
         assertEquals(300L, answer.get(1));
         assertEquals(EngineStandIn.page(trace, 0) + EngineStandIn.page(trace, 1)
                 + EngineStandIn.page(trace, 2), Client.rows(answer));
-        List<String> fetch = engine.seen("fetch").get(0).words();
+        List<String> fetch = engine.received("fetch").get(0).words();
         assertEquals(List.of(trace, statement), List.of(fetch.get(1), fetch.get(3)));
         assertTrue(fetch.get(2).matches("lane=lookup,ttl=4[0-9]{3},urgency=2"), fetch.get(2));
-        await("the end of its pages", () -> engine.seen("done").size() == 1);
+        await("the end of its pages", () -> engine.received("done").size() == 1);
     }
 
     /** An invalid load report is harmless; a valid one moves queries to the engine that is less busy. */
@@ -102,9 +102,9 @@
                 assertNull(Client.error(client().send(Client.query(1, Client.trace(), PATIENCE, "select"))
                         .read()));
             }
-            int busy = engines[0].seen("fetch").size();
-            assertTrue(busy > 3 && engines[1].seen("fetch").size() > busy, "sent to the busy engine: " + busy
-                    + " of 80");
+            int busy = engines[0].received("fetch").size();
+            assertTrue(busy > 3 && engines[1].received("fetch").size() > busy,
+                    "sent to the busy engine: " + busy + " of 80");
             assertEquals(1, engines[0].accepted.size(), "an invalid report must not close the connection");
         } finally {
             later.shutdownNow();
@@ -117,7 +117,7 @@
         start(open(new EngineStandIn(command -> {
             waiting.add(0, command);
             if (waiting.size() == 32) {
-                waiting.forEach(EngineStandIn.pages(1));
+                waiting.forEach(EngineStandIn.answerWithPages(1));
             }
         })));
         Client client = client();
@@ -186,7 +186,7 @@
         Client good = client();
         String open = Client.trace();
         good.send(Client.query(1, open, 1_000, "of the good client"));
-        await("the query at the engine", () -> silent.seen("fetch").size() == 1);
+        await("the query at the engine", () -> silent.received("fetch").size() == 1);
         Client bad = client();
         List<Map.Entry<String, String>> invalidFields = List.of(Map.entry("customer", "nobody"),
                 Map.entry("trace", open), Map.entry("patience", "1e300"), Map.entry("patience", "-1"),
@@ -212,7 +212,7 @@
         assertEquals("Fault", Client.error(both.get(2L)));
         assertEquals("Shed", Client.error(both.get(1L)), "the first request must be answered");
         assertTrue(reusesTrace.closedByFront());
-        assertTrue(silent.seen("fetch").size() <= 3, "the first request of each pair was valid");
+        assertTrue(silent.received("fetch").size() <= 3, "the first request of each pair was valid");
         assertEquals("Shed", Client.error(good.read()));
     }
 
@@ -291,7 +291,7 @@
             if (command.word().equals("fetch") && command.words().get(3).equals("late")) {
                 held.add(command);
             } else {
-                EngineStandIn.pages(1).accept(command);
+                EngineStandIn.answerWithPages(1).accept(command);
             }
         }));
         start(engine);
@@ -304,11 +304,11 @@
         client.send(Client.query(2, Client.trace(), PATIENCE, "select 2"));
         assertEquals(2L, client.read().get(1));
         held.get(0).answer("data", "sheets=4", "a\tlate\trow\n");
-        await("the end of the pages", () -> engine.seen("done").size() == 1);
+        await("the end of the pages", () -> engine.received("done").size() == 1);
         client.send(Client.pack(List.of(2, "revoke", List.of(2))),
                 Client.query(3, Client.trace(), PATIENCE, "select 3"));
         assertEquals(3L, client.read().get(1));
-        assertTrue(engine.seen("more").isEmpty() && engine.seen("abort").isEmpty());
+        assertTrue(engine.received("more").isEmpty() && engine.received("abort").isEmpty());
     }
 
     @Example
@@ -317,11 +317,11 @@
         startHeedingCancels(engine);
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, PATIENCE, "select"));
-        await("the query at the engine", () -> engine.seen("fetch").size() == 1);
+        await("the query at the engine", () -> engine.received("fetch").size() == 1);
         client.send(Client.pack(List.of(2, "revoke", List.of(1))));
-        await("its end", () -> engine.seen("abort").size() == 1);
-        assertEquals(trace, engine.seen("abort").get(0).id());
-        engine.seen("fetch").get(0).answer("data", "sheets=1", "too late\n");
+        await("its end", () -> engine.received("abort").size() == 1);
+        assertEquals(trace, engine.received("abort").get(0).id());
+        engine.received("fetch").get(0).answer("data", "sheets=1", "too late\n");
         client.send(Client.pack(List.of(0, 2, "heartbeat", List.of(Map.of()))));
         assertEquals(2L, client.read().get(1));
     }
@@ -343,8 +343,8 @@
                 throw new AssertionError(e);
             }
         });
-        startWith(host("e0", "127.0.0.1:" + cutOff.getLocalPort(), "ready"),
-                host("e1", engine(1).address(), "ready"));
+        startWith(engineRow("e0", "127.0.0.1:" + cutOff.getLocalPort(), "ready"),
+                engineRow("e1", engine(1).address(), "ready"));
         for (int k = 0; k < 6; k++) {
             serves();
         }
@@ -387,9 +387,9 @@
                 connection.renice(s);
             });
         }).get();
-        await("the new priority", () -> engine.seen("renice").size() == 1);
-        assertEquals(List.of("renice", engine.seen("fetch").get(0).id(), "3"),
-                engine.seen("renice").get(0).words());
+        await("the new priority", () -> engine.received("renice").size() == 1);
+        assertEquals(List.of("renice", engine.received("fetch").get(0).id(), "3"),
+                engine.received("renice").get(0).words());
     }
 
     /** Progress reports reach the decisions: a submission far behind its estimate is replaced by another. */
@@ -399,14 +399,14 @@
         startHeedingCancels(engine);
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, PATIENCE, "select"));
-        await("the first submission", () -> engine.seen("fetch").size() == 1);
+        await("the first submission", () -> engine.received("fetch").size() == 1);
         await("its end", () -> {
-            engine.seen("fetch").get(0).answer("news", "why=done,val=0.01", "");
-            return engine.seen("abort").size() == 1;
+            engine.received("fetch").get(0).answer("news", "why=done,val=0.01", "");
+            return engine.received("abort").size() == 1;
         });
-        await("the second submission", () -> engine.seen("fetch").size() == 2);
-        engine.seen("fetch").get(0).answer("data", "sheets=1", "of\tthe first\trun\n");
-        engine.seen("fetch").get(1).answer("data", "sheets=1", "of\tthe second\trun\n");
+        await("the second submission", () -> engine.received("fetch").size() == 2);
+        engine.received("fetch").get(0).answer("data", "sheets=1", "of\tthe first\trun\n");
+        engine.received("fetch").get(1).answer("data", "sheets=1", "of\tthe second\trun\n");
         assertEquals("of\tthe second\trun\n", Client.rows(client.read()));
     }
 
@@ -414,15 +414,16 @@
     void afterARefusedConnectOrAResetAnotherEngineServes() throws Exception {
         EngineStandIn resets = open(new EngineStandIn(command -> {
             try {
-                command.from().setSoLinger(true, 0);
-                command.from().close();
+                command.connection().setSoLinger(true, 0);
+                command.connection().close();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }));
-        startWith(host("dead", Program.freeAddress(), "ready"), host("resets", resets.address(), "ready"),
-                host("odd", open(new EngineStandIn(c -> c.answerRaw("+PONG\r\n"))).address(), "ready"),
-                host("good", engine(1).address(), "ready"));
+        startWith(engineRow("dead", Program.freeAddress(), "ready"),
+                engineRow("resets", resets.address(), "ready"),
+                engineRow("odd", open(new EngineStandIn(c -> c.answerRaw("+PONG\r\n"))).address(), "ready"),
+                engineRow("good", engine(1).address(), "ready"));
         Client client = client();
         int served = 0;
         for (int id = 1; id <= 24; id++) {
@@ -451,9 +452,10 @@
         assertTrue(answers.values().stream().anyMatch(answer -> Client.rows(answer) != null));
         assertTrue(answers.values().stream()
                 .allMatch(a -> a.get(2) == null || "Shed".equals(Client.error(a))));
-        assertTrue(silent.seen.size() + good.seen("fetch").size() >= 16);
-        assertTrue(silent.seen("abort").isEmpty(), "cancels are not allowed");
-        assertTrue(silent.left.isEmpty(), "queries must not be cancelled by closing the connection either");
+        assertTrue(silent.received.size() + good.received("fetch").size() >= 16);
+        assertTrue(silent.received("abort").isEmpty(), "cancels are not allowed");
+        assertTrue(silent.closedByPeer.isEmpty(),
+                "queries must not be cancelled by closing the connection either");
     }
 
     @Example
@@ -476,10 +478,10 @@
             } else {
                 // Sends excess answers: one under an unknown id first, and the answer itself twice.
                 String unknownTrace = Client.trace();
-                new EngineStandIn.Command(List.of("fetch", unknownTrace), command.from(), 0)
+                new EngineStandIn.Command(List.of("fetch", unknownTrace), command.connection(), 0)
                         .answer("data", "sheets=3", EngineStandIn.page(unknownTrace, 0));
-                EngineStandIn.pages(2).accept(command);
-                EngineStandIn.pages(2).accept(command);
+                EngineStandIn.answerWithPages(2).accept(command);
+                EngineStandIn.answerWithPages(2).accept(command);
             }
         }));
         start(engine);
@@ -495,13 +497,13 @@
             assertEquals(EngineStandIn.page(trace, 0) + EngineStandIn.page(trace, 1),
                     Client.rows(client.send(Client.query(id, trace, 4_000, "select")).read()));
             await("the query at the engine again", () -> waitingCommands.size() == runs + 2);
-            assertTrue(engine.left.contains(waitingCommands.get(runs).from()));
-            EngineStandIn.pages(1).accept(waitingCommands.get(runs + 1));
+            assertTrue(engine.closedByPeer.contains(waitingCommands.get(runs).connection()));
+            EngineStandIn.answerWithPages(1).accept(waitingCommands.get(runs + 1));
             assertEquals(EngineStandIn.page(waitingTrace, 0), Client.rows(other.read()));
         }
         assertEquals(malformedAnswers.size(), fetches.get());
         assertTrue(front.logged("an answer does not end"), front.log::toString);
-        assertTrue(engine.seen("done").stream().noneMatch(c -> engine.seen("fetch").stream()
+        assertTrue(engine.received("done").stream().noneMatch(c -> engine.received("fetch").stream()
                 .noneMatch(f -> f.id().equals(c.id()))), "done for an id that the engine was never sent");
     }
 
@@ -509,15 +511,15 @@
     void aBrokenEngineConnectionIsReplaced() throws Exception {
         AtomicReference<Socket> brokenSocket = new AtomicReference<>();
         EngineStandIn engine = open(new EngineStandIn(command -> {
-            brokenSocket.compareAndSet(null, command.from());
-            if (command.from() != brokenSocket.get()) {
-                EngineStandIn.pages(1).accept(command);
+            brokenSocket.compareAndSet(null, command.connection());
+            if (command.connection() != brokenSocket.get()) {
+                EngineStandIn.answerWithPages(1).accept(command);
             }
         }));
         start(engine);
         Client client = client();
         client.send(Client.query(1, Client.trace(), 15_000, "swallowed"));
-        await("the liveness check", () -> engine.seen("alive").size() == 1);
+        await("the liveness check", () -> engine.received("alive").size() == 1);
         AtomicInteger ids = new AtomicInteger(1);
         await("a new connection", () -> {
             try {
@@ -528,7 +530,7 @@
             }
         });
         assertEquals(2, engine.accepted.size());
-        assertFalse(engine.left.contains(brokenSocket.get()),
+        assertFalse(engine.closedByPeer.contains(brokenSocket.get()),
                 "a connection with running queries must not be closed");
     }
 
@@ -557,8 +559,9 @@
         start(engine);
         List<?> answer = client().send(Client.query(1, Client.trace(), 1000, "select")).read();
         assertNull(Client.rows(answer));
-        assertEquals(3, engine.seen("fetch").size(), "all submissions were made");
-        assertEquals(3, engine.seen("fetch").stream().map(EngineStandIn.Command::from).distinct().count(),
+        assertEquals(3, engine.received("fetch").size(), "all submissions were made");
+        assertEquals(3,
+                engine.received("fetch").stream().map(EngineStandIn.Command::connection).distinct().count(),
                 "a late page could be taken for one of the next submission");
     }
 
@@ -569,8 +572,9 @@
         Client client = client();
         byte[] heartbeat = Client.pack(List.of(0, 1, "heartbeat", List.of(Map.of())));
         assertEquals(List.of(false, List.of()), client.send(heartbeat).read().get(3));
-        await("the call", () -> journal.calledFrom.equals(List.of("0")));
-        journal.send("id: 1\ndata: " + event(1, true, host("e0", engine(1).address(), "ready")) + "\n\n");
+        await("the call", () -> journal.requestPositions.equals(List.of("0")));
+        journal.send("id: 1\ndata: " + event(1, true, engineRow("e0", engine(1).address(), "ready"))
+                + "\n\n");
         await("a true heartbeat", () -> {
             try {
                 return client.send(heartbeat).read().get(3).equals(List.of(true, List.of()));
@@ -587,7 +591,7 @@
         EngineStandIn engine = engine(1);
         String[] hosts = new String[100];
         for (int k = 0; k < hosts.length; k++) {
-            hosts[k] = host("e" + k, engine.address(), "ready");
+            hosts[k] = engineRow("e" + k, engine.address(), "ready");
         }
         journal = open(new JournalStandIn());
         front = open(new Program(Program.configJson(Program.freeAddress(), journal.address(),
@@ -599,17 +603,18 @@
         }
         assertFalse(front.logged("engine connections at their limit"), front.log::toString);
         assertTrue(engine.accepted.size() > 64, "many were dialled: " + engine.accepted.size());
-        await("the close of idle connections", () -> engine.accepted.size() - engine.left.size() <= 32);
+        await("the close of idle connections",
+                () -> engine.accepted.size() - engine.closedByPeer.size() <= 32);
     }
 
     @Example
     void theJournalIsResumedByNumberAndAMalformedEventKeepsTheList() throws Exception {
         EngineStandIn first = engine(1);
         EngineStandIn second = engine(1);
-        startWith(host("e0", first.address(), "ready"));
-        await("the call", () -> journal.calledFrom.equals(List.of("1")));
+        startWith(engineRow("e0", first.address(), "ready"));
+        await("the call", () -> journal.requestPositions.equals(List.of("1")));
         String secondEvent = "id: 2\r\n: a comment\r\ndata: "
-                + event(2, false, host("e1", second.address(), "ready")) + "\r\n\r\n";
+                + event(2, false, engineRow("e1", second.address(), "ready")) + "\r\n\r\n";
         journal.send("id: 1\ndata: " + event(1, true) + "\n\n" + secondEvent.substring(0, 40));
         journal.send(secondEvent.substring(40));
         await("the second engine in use", () -> {
@@ -618,20 +623,20 @@
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            return !second.seen.isEmpty();
+            return !second.received.isEmpty();
         });
         journal.send("id: 3\ndata: {\"pos\":3,\"hosts\":{\"hosts\":[{\"host\":\"e0\"}]}}\n\n");
-        await("the second call", () -> journal.calledFrom.equals(List.of("1", "2")));
+        await("the second call", () -> journal.requestPositions.equals(List.of("1", "2")));
         assertTrue(front.logged("journal event malformed"));
-        journal.send("id: 9\ndata: " + event(9, false, host("e0", first.address(), "gone")) + "\n\n");
-        await("a call for what is missing", () -> journal.calledFrom.equals(List.of("1", "2", "2")));
+        journal.send("id: 9\ndata: " + event(9, false, engineRow("e0", first.address(), "gone")) + "\n\n");
+        await("a call for what is missing", () -> journal.requestPositions.equals(List.of("1", "2", "2")));
         serves();
-        journal.reset();
-        await("the next call", () -> journal.calledFrom.size() == 4);
+        journal.resetConnections();
+        await("the next call", () -> journal.requestPositions.size() == 4);
         // A new engine uses the address of a removed one.
-        journal.send("id: 3\ndata: " + event(3, true, host("e1", second.address(), "gone"),
-                host("e2", second.address(), "ready")) + "\n\n");
-        int before = first.seen.size();
+        journal.send("id: 3\ndata: " + event(3, true, engineRow("e1", second.address(), "gone"),
+                engineRow("e2", second.address(), "ready")) + "\n\n");
+        int before = first.received.size();
         await("the new engine's own connection", () -> {
             try {
                 serves();
@@ -640,10 +645,10 @@
             }
             return second.accepted.size() == 2;
         });
-        assertTrue(first.seen.size() <= before + 1, "the first engine is no longer listed");
-        int calls = journal.calledFrom.size();
-        await("a call after silence", () -> journal.calledFrom.size() > calls);
-        assertEquals("3", journal.calledFrom.get(calls));
+        assertTrue(first.received.size() <= before + 1, "the first engine is no longer listed");
+        int calls = journal.requestPositions.size();
+        await("a call after silence", () -> journal.requestPositions.size() > calls);
+        assertEquals("3", journal.requestPositions.get(calls));
         assertTrue(front.logged("journal silent"), front.log::toString);
     }
 
@@ -651,22 +656,22 @@
     void onSighupItFollowsTheJournalAtItsNewAddressAndServesOn() throws Exception {
         EngineStandIn slow = open(new EngineStandIn(command -> {
             if (!command.words().get(command.words().size() - 1).equals("slow")) {
-                EngineStandIn.pages(1).accept(command);
+                EngineStandIn.answerWithPages(1).accept(command);
             }
         }));
         start(slow);
-        await("the call", () -> journal.calledFrom.equals(List.of("1")));
+        await("the call", () -> journal.requestPositions.equals(List.of("1")));
         Client client = client().send(Client.query(1, Client.trace(), 9_000, "slow"));
-        await("the query at the engine", () -> slow.seen("fetch").size() == 1);
+        await("the query at the engine", () -> slow.received("fetch").size() == 1);
         String config = Program.configJson(front.listenAddress, journal.address());
         JournalStandIn next = open(new JournalStandIn());
         front.reload(config.replace(journal.address(), next.address()));
-        await("the call at the new address", () -> next.calledFrom.equals(List.of("1")));
-        assertTrue(journal.ended(0), "the old stream is dropped");
+        await("the call at the new address", () -> next.requestPositions.equals(List.of("1")));
+        assertTrue(journal.closedByCaller(0), "the old stream is dropped");
         Map<String, String> bad = Map.of("RELAY_CONFIG", "{", "journal", config.replace("journal", "other"),
                 "limits.sockets", config.replace("\"sockets\"", "\"x\""), "dial",
                 Program.configJson(front.listenAddress, journal.address(),
-                        event(1, true, host("e9", "no address", "ready"))));
+                        event(1, true, engineRow("e9", "no address", "ready"))));
         for (Map.Entry<String, String> each : bad.entrySet()) {
             front.log.clear();
             front.reload(each.getValue());
@@ -679,22 +684,22 @@
         for (int k = 0; k < 5; k++) {
             front.reload(config.replace(journal.address(), k < 4 ? Program.freeAddress() : last.address()));
         }
-        await("the call at the last address", () -> !last.calledFrom.isEmpty());
+        await("the call at the last address", () -> !last.requestPositions.isEmpty());
         EngineStandIn added = engine(1);
         // If two signals follow the last file, the second closes the connection made for the first. The event
         // is therefore sent twice, so that the remaining connection gets it too.
-        last.tell(true);
-        last.tell(true, host("e9", added.address(), "ready"));
+        last.publish(true);
+        last.publish(true, engineRow("e9", added.address(), "ready"));
         await("the new engine in use", () -> {
             try {
                 serves();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            return !added.seen.isEmpty();
+            return !added.received.isEmpty();
         });
-        EngineStandIn.pages(1).accept(slow.seen("fetch").get(0));
-        assertEquals(EngineStandIn.page(slow.seen("fetch").get(0).id(), 0), Client.rows(client.read()));
+        EngineStandIn.answerWithPages(1).accept(slow.received("fetch").get(0));
+        assertEquals(EngineStandIn.page(slow.received("fetch").get(0).id(), 0), Client.rows(client.read()));
         front.sendSignal("-HUP");
         front.sendSignal("-TERM");
         front.sendSignal("-HUP");
@@ -710,11 +715,11 @@
     void aReloadWorksWhereTheParentProcessIgnoresSighup() throws Exception {
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine(1).address(), "ready")));
+                event(1, true, engineRow("e0", engine(1).address(), "ready")));
         front = open(Program.withSighupIgnored(config)).awaitReady();
         JournalStandIn next = open(new JournalStandIn());
         front.reload(config.replace(journal.address(), next.address()));
-        await("the call at the new address", () -> next.calledFrom.equals(List.of("1")));
+        await("the call at the new address", () -> next.requestPositions.equals(List.of("1")));
         assertFalse(front.logged("no reload is heard"), front.log::toString);
     }
 
@@ -724,7 +729,7 @@
         Path classLog = Files.createTempFile("reedspring", ".classes");
         journal = open(new JournalStandIn());
         front = open(Program.withJvmOption(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine(1).address(), "ready"))),
+                event(1, true, engineRow("e0", engine(1).address(), "ready"))),
                 "-Xlog:class+load:file=" + classLog)).awaitReady();
         serves();
         List<String> lines = Files.readAllLines(classLog);
@@ -740,9 +745,9 @@
     @Example
     void tricklingBytesDoNotKeepAJournalConnectionAlive() throws Exception {
         start(engine(1));
-        await("the call", () -> journal.calledFrom.size() == 1);
+        await("the call", () -> journal.requestPositions.size() == 1);
         long since = System.nanoTime();
-        while (journal.calledFrom.size() == 1 && System.nanoTime() - since < 6_000_000_000L) {
+        while (journal.requestPositions.size() == 1 && System.nanoTime() - since < 6_000_000_000L) {
             try {
                 journal.send("d");
             } catch (IOException e) {
@@ -750,7 +755,7 @@
             }
             Thread.sleep(100);
         }
-        assertEquals(List.of("1", "1"), journal.calledFrom);
+        assertEquals(List.of("1", "1"), journal.requestPositions);
         assertTrue(System.nanoTime() - since < 3_500_000_000L, "events are due 4 s after a stall");
     }
 
@@ -760,14 +765,14 @@
         EngineStandIn silent = silentEngine();
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", silent.address(), "ready")));
+                event(1, true, engineRow("e0", silent.address(), "ready")));
         front = open(new Program(config.replace("\"aimMs\"", "\"deadlineMs\":1200.0,\"aimMs\"")))
                 .awaitReady();
         List<Client> clients = new ArrayList<>();
         for (int k = 0; k < 60; k++) {
             clients.add(client().send(Client.query(1, Client.trace(), 2_400, "select")));
         }
-        await("a query at the engine", () -> !silent.seen("fetch").isEmpty());
+        await("a query at the engine", () -> !silent.received("fetch").isEmpty());
         long sigtermNanos = System.nanoTime();
         front.sendSignal("-TERM");
         for (Client client : clients) {
@@ -787,12 +792,12 @@
             if (command.word().equals("fetch")) {
                 held.add(command);
             } else {
-                EngineStandIn.pages(7).accept(command);
+                EngineStandIn.answerWithPages(7).accept(command);
             }
         }));
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready")));
+                event(1, true, engineRow("e0", engine.address(), "ready")));
         front = open(new Program(config.replace("\"aimMs\"", "\"deadlineMs\":1200.0,\"aimMs\"")))
                 .awaitReady();
         Client client = client();
@@ -804,7 +809,7 @@
         long sigtermNanos = System.nanoTime();
         front.sendSignal("-TERM");
         Thread.sleep(1_000);
-        held.forEach(EngineStandIn.pages(7));
+        held.forEach(EngineStandIn.answerWithPages(7));
         Thread.sleep(Math.max(1, 1_620 - (System.nanoTime() - sigtermNanos) / 1_000_000));
         assertEquals(16, client.read(16).size());
     }
@@ -813,13 +818,13 @@
     void onSigtermItAnswersAllQueriesAndExitsWithZero() throws Exception {
         EngineStandIn engine = open(new EngineStandIn(command -> {
             if (!command.words().get(command.words().size() - 1).equals("slow")) {
-                EngineStandIn.pages(1).accept(command);
+                EngineStandIn.answerWithPages(1).accept(command);
             }
         }));
         start(engine);
         Client client = client();
         client.send(Client.query(1, Client.trace(), 9000, "slow"));
-        await("the query at the engine", () -> engine.seen("fetch").size() == 1);
+        await("the query at the engine", () -> engine.received("fetch").size() == 1);
         long sigtermNanos = System.nanoTime();
         front.process.toHandle().destroy();
         await("the start of the shutdown", () -> front.logged("leaving"));
@@ -851,7 +856,7 @@
         assertEquals("Shed", Client.error(answers.get(2L)));
         int pause = Integer.parseInt(((List<?>) ((List<?>) answers.get(2L).get(2)).get(1)).get(1).toString());
         assertTrue(pause >= 249 && pause <= 499, "retry time: " + pause);
-        List<EngineStandIn.Command> sent = engine.seen("fetch");
+        List<EngineStandIn.Command> sent = engine.received("fetch");
         assertEquals(2, sent.size());
         String ttl = sent.get(1).words().get(2).replaceAll(".*ttl=(\\d+).*", "$1");
         assertTrue(Integer.parseInt(ttl) < PATIENCE - 900, ttl);
@@ -862,12 +867,12 @@
         EngineStandIn engine = silentEngine();
         start(engine);
         client().send(Client.query(1, Client.trace(), PATIENCE, "lost with it"));
-        await("the query at the engine", () -> engine.seen("fetch").size() == 1);
+        await("the query at the engine", () -> engine.received("fetch").size() == 1);
         front.sendSignal("-KILL");
         assertTrue(front.process.waitFor(20, TimeUnit.SECONDS));
         EngineStandIn good = engine(1);
         front = open(new Program(Program.configJson(front.listenAddress, journal.address(),
-                event(1, true, host("e0", good.address(), "ready"))))).awaitReady();
+                event(1, true, engineRow("e0", good.address(), "ready"))))).awaitReady();
         serves();
     }
 
@@ -899,17 +904,17 @@
             int pos = k + 2;
             EngineStandIn moves = engines[k % 4];
             String health = List.of("ready", "draining", "gone").get(random.nextInt(3));
-            int calls = journal.calledFrom.size();
+            int calls = journal.requestPositions.size();
             try {
                 journal.send("id: " + pos + "\ndata: " + event(pos, false,
-                        host("e" + k % 4, moves.address(), health),
-                        host("e" + (k + 1) % 4, engines[(k + 1) % 4].address(), "ready")) + "\n\n");
+                        engineRow("e" + k % 4, moves.address(), health),
+                        engineRow("e" + (k + 1) % 4, engines[(k + 1) % 4].address(), "ready")) + "\n\n");
             } catch (IOException e) {
                 // the stream was just closed; the front requests the missed events
             }
             if (random.nextBoolean()) {
-                journal.reset();
-                await("the next call", () -> journal.calledFrom.size() > calls);
+                journal.resetConnections();
+                await("the next call", () -> journal.requestPositions.size() > calls);
             }
         }
         for (CompletableFuture<Void> client : clients) {
@@ -927,11 +932,11 @@
             roll = random.nextInt(100);
         }
         if (!command.word().equals("fetch") || roll < 60) {
-            EngineStandIn.pages(1 + roll % 7).accept(command);
+            EngineStandIn.answerWithPages(1 + roll % 7).accept(command);
         } else if (roll < 70) {
             command.answer("news", "why=done,val=0.5", "");
             command.answer("news", "why=waits,val=1", "");
-            EngineStandIn.pages(2).accept(command);
+            EngineStandIn.answerWithPages(2).accept(command);
         } else if (roll < 92) {
             command.answer(List.of("full", "failed", "moot").get(roll % 3), "-", "");
         } else if (roll < 94) {
@@ -941,8 +946,8 @@
             command.answer("data", "sheets=9", EngineStandIn.page(command.id(), 0));
         } else if (roll < 97) {
             try {
-                command.from().setSoLinger(true, 0);
-                command.from().close();
+                command.connection().setSoLinger(true, 0);
+                command.connection().close();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -992,7 +997,8 @@
     void theLimitsHoldUnderAFlood() throws Exception {
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(), event(1, true,
-                host("e0", engine(7).address(), "ready"), host("e1", engine(7).address(), "ready")));
+                engineRow("e0", engine(7).address(), "ready"),
+                engineRow("e1", engine(7).address(), "ready")));
         front = open(new Program(config.replace("\"memory_mb\":192", "\"memory_mb\":" + MEMORY_MB)))
                 .awaitReady();
         String large = "x".repeat(200_000);
@@ -1051,7 +1057,7 @@
                 "settings", good.replace("\"settings\"", "\"other\""),
                 "known.entries", good.replace("[],\"settings\"", "7,\"settings\"").replace("[]},", "7},"),
                 "dial", Program.configJson("127.0.0.1:1", "127.0.0.1:2",
-                        event(1, true, host("e9", "no address", "ready"))),
+                        event(1, true, engineRow("e9", "no address", "ready"))),
                 "classes.0.aimMs", good.replace("900.0", "\"soon\""));
         for (Map.Entry<String, String> each : bad.entrySet()) {
             Program program = open(new Program(each.getValue()));
--- a/src/test/java/reedspring/net/ListSizeTest.java
+++ b/src/test/java/reedspring/net/ListSizeTest.java
@@ -10,7 +10,7 @@
 /** How many rows fit an engine list in one event; docs/CAPACITY.md tells what follows from that. */
 class ListSizeTest {
     private static byte[] event(int rows) {
-        String[] hosts = IntStream.range(0, rows).mapToObj(k -> JournalStandIn.host(
+        String[] hosts = IntStream.range(0, rows).mapToObj(k -> JournalStandIn.engineRow(
                 String.format("s-%08x", k),
                 "10." + k / 62_500 + "." + k / 250 % 250 + "." + k % 250 + ":5050", "ready"))
                 .toArray(String[]::new);
--- a/src/test/java/reedspring/net/ListsIT.java
+++ b/src/test/java/reedspring/net/ListsIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import java.io.IOException;
@@ -87,7 +87,7 @@
     }
 
     private static String[] rows(int first, int count, String health, EngineStandIn... engines) {
-        return IntStream.range(first, first + count).mapToObj(k -> host(String.format("s-%08x", k),
+        return IntStream.range(first, first + count).mapToObj(k -> engineRow(String.format("s-%08x", k),
                 engines[k % engines.length].address(), "z" + k % 14, "m", health, 0)).toArray(String[]::new);
     }
 
@@ -111,9 +111,9 @@
     }
 
     private void startTraffic() throws Exception {
-        journal.tell(true);
-        await("the subscription", () -> !journal.calledFrom.isEmpty());
-        assertEquals("1", journal.calledFrom.get(0));
+        journal.publish(true);
+        await("the subscription", () -> !journal.requestPositions.isEmpty());
+        assertEquals("1", journal.requestPositions.get(0));
         traffic = open(new Traffic());
         traffic.awaitServed(5);
     }
@@ -122,28 +122,28 @@
     private void sendHeartbeats() {
         ScheduledExecutorService heartbeats = Executors.newSingleThreadScheduledExecutor();
         opened.add(heartbeats::shutdownNow);
-        heartbeats.scheduleAtFixedRate(journal::comment, 0, 500, TimeUnit.MILLISECONDS);
+        heartbeats.scheduleAtFixedRate(journal::sendKeepAlive, 0, 500, TimeUnit.MILLISECONDS);
     }
 
     /** Checks that from now on queries go to this engine only. */
     private void assertOnlyUses(EngineStandIn engine, EngineStandIn... others) throws Exception {
         int[] before = new int[1];
         await("a query at the newly listed engine", () -> {
-            int seen = engine.seen("fetch").size();
+            int seen = engine.received("fetch").size();
             boolean more = before[0] > 0 && seen > before[0];
             before[0] = seen;
             return more;
         });
-        int[] counts = Arrays.stream(others).mapToInt(o -> o.seen("fetch").size()).toArray();
+        int[] counts = Arrays.stream(others).mapToInt(o -> o.received("fetch").size()).toArray();
         traffic.awaitServed(50);
         for (int k = 0; k < others.length; k++) {
-            assertEquals(counts[k], others[k].seen("fetch").size(), "sent to an unlisted engine");
+            assertEquals(counts[k], others[k].received("fetch").size(), "sent to an unlisted engine");
         }
     }
 
     /** Checks that the front subscribed once; if it didn't, its log tells why it reconnected. */
     private void assertSubscribedOnce() {
-        assertEquals(List.of("1"), journal.calledFrom, front.log::toString);
+        assertEquals(List.of("1"), journal.requestPositions, front.log::toString);
     }
 
     private void assertNoFailures() {
@@ -160,11 +160,11 @@
         EngineStandIn second = engine(1);
         startServing(rows(0, 4, "ready", first));
         sendHeartbeats();
-        journal.together(() -> {
-            journal.tell(true, concat(rows(0, 1_000, "ready", first),
+        journal.publishInOneWrite(() -> {
+            journal.publish(true, concat(rows(0, 1_000, "ready", first),
                     rows(1_000, SMALL_LIST - 1_000, "ready", second)));
             for (int k = 0; k < 1_000; k++) {
-                journal.tell(false, rows(k, 1, k % 2 == 0 ? "draining" : "gone", first));
+                journal.publish(false, rows(k, 1, k % 2 == 0 ? "draining" : "gone", first));
             }
         });
         assertOnlyUses(second, first);
@@ -178,17 +178,17 @@
         EngineStandIn second = engine(1);
         startServing(rows(0, 2, "ready", first));
         String[] moved = rows(0, 2, "ready", second);
-        journal.tell(true, concat(rows(0, 2, "ready", first), moved));
+        journal.publish(true, concat(rows(0, 2, "ready", first), moved));
         assertOnlyUses(second, first);
         // An unchanged list closes no connection.
         int connections = second.accepted.size();
-        journal.tell(true, concat(rows(0, 2, "ready", first), moved));
+        journal.publish(true, concat(rows(0, 2, "ready", first), moved));
         traffic.awaitServed(50);
         assertEquals(connections, second.accepted.size(), "connections were replaced");
-        journal.tell(true, concat(concat(rows(0, 2, "draining", second), rows(0, 2, "gone", second)),
+        journal.publish(true, concat(concat(rows(0, 2, "draining", second), rows(0, 2, "gone", second)),
                 rows(0, 2, "ready", first)));
         assertOnlyUses(first, second);
-        journal.tell(false, concat(concat(rows(0, 2, "ready", first), rows(5, 1, "ready", second)),
+        journal.publish(false, concat(concat(rows(0, 2, "ready", first), rows(5, 1, "ready", second)),
                 rows(0, 2, "gone", first)));
         assertOnlyUses(second, first);
         assertNoFailures();
@@ -219,7 +219,7 @@
         EngineStandIn first = engine(1);
         startServing(rows(0, 2, "ready", first));
         traffic.stop();
-        journal.tell(true);
+        journal.publish(true);
         await("a refusal", () -> {
             try (Client client = front.connectClient()) {
                 return "Shed".equals(Client.error(client.send(Client.query(1, Client.trace(), 300, "select"))
@@ -228,7 +228,7 @@
                 throw new UncheckedIOException(e);
             }
         });
-        journal.tell(true, rows(7, 1, "ready", first));
+        journal.publish(true, rows(7, 1, "ready", first));
         await("the engine in use", () -> {
             try (Client client = front.connectClient()) {
                 return Client.rows(client.send(Client.query(1, Client.trace(), 300, "select")).read())
@@ -251,10 +251,10 @@
             EngineStandIn third = engine(1);
             startServingWithMemory(memoryMb, rows(0, 2, "ready", first));
             sendHeartbeats();
-            journal.tell(true, rows(0, LARGE_LIST, "ready", second));
+            journal.publish(true, rows(0, LARGE_LIST, "ready", second));
             assertOnlyUses(second, first);
-            journal.tell(true, rows(0, LARGE_LIST, "ready", second));
-            journal.tell(true, rows(LARGE_LIST / 2, LARGE_LIST, "ready", third));
+            journal.publish(true, rows(0, LARGE_LIST, "ready", second));
+            journal.publish(true, rows(LARGE_LIST / 2, LARGE_LIST, "ready", third));
             assertOnlyUses(third, first, second);
             assertNoFailures();
             assertSubscribedOnce();
@@ -275,7 +275,7 @@
         EngineStandIn first = engine(1);
         EngineStandIn second = engine(1);
         startServingWithMemory(USUAL_MEMORY_MB, rows(0, LARGE_LIST, "ready", first));
-        journal.tell(true, rows(0, LARGE_LIST, "ready", second));
+        journal.publish(true, rows(0, LARGE_LIST, "ready", second));
         assertOnlyUses(second, first);
         assertNoFailures();
     }
@@ -287,19 +287,19 @@
         EngineStandIn second = engine(1);
         startServing(rows(0, 2, "ready", first));
         sendHeartbeats();
-        journal.tell(true, rows(0, 100_000, "ready", second));
+        journal.publish(true, rows(0, 100_000, "ready", second));
         await("the log line for a long event", () -> front.logged("journal event too long, ignored"));
         assertOnlyUses(first, second);
         assertSubscribedOnce();
         // Short rows, so that the number of engines exceeds its limit and the bytes don't.
         String[] shortRows = IntStream.range(0, 100_000).mapToObj(k -> "{\"host\":\"" + k
                 + "\",\"dial\":\"" + second.address() + "\",\"health\":\"ready\"}").toArray(String[]::new);
-        journal.tell(true, Arrays.copyOf(shortRows, 40_000));
+        journal.publish(true, Arrays.copyOf(shortRows, 40_000));
         await("the log line for too many engines",
                 () -> front.logged("journal list of too many engines, ignored: 40000"));
         assertOnlyUses(first, second);
         // The next changes refer to the rejected list; they are applied all the same.
-        journal.tell(false, concat(rows(0, 2, "draining", first), rows(5, 2, "ready", second)));
+        journal.publish(false, concat(rows(0, 2, "draining", first), rows(5, 2, "ready", second)));
         assertOnlyUses(second, first);
         assertNoFailures();
         assertSubscribedOnce();
@@ -312,13 +312,13 @@
         EngineStandIn second = engine(1);
         startServingWithMemory(64, rows(0, 2, "ready", first));
         for (int k = 0; k < 20; k++) {
-            journal.tell(false, rows(10 + k * 500, 500, "ready", first));
+            journal.publish(false, rows(10 + k * 500, 500, "ready", first));
         }
         await("the log line for the engine limit", () -> front.logged("engines at their limit, left out"));
         // Changes to known engines are still applied.
-        journal.tell(false, rows(10, 8_000, "gone", first));
-        journal.tell(false, concat(rows(0, 10, "gone", first), rows(20_000, 5, "ready", second)));
-        journal.tell(true, rows(20_000, 5, "ready", second));
+        journal.publish(false, rows(10, 8_000, "gone", first));
+        journal.publish(false, concat(rows(0, 10, "gone", first), rows(20_000, 5, "ready", second)));
+        journal.publish(true, rows(20_000, 5, "ready", second));
         assertOnlyUses(second, first);
         assertNoFailures();
     }
@@ -329,9 +329,9 @@
         EngineStandIn kept = engine(1);
         startServing(concat(rows(0, SMALL_LIST / 2, "ready", removed),
                 rows(SMALL_LIST / 2, SMALL_LIST / 2, "ready", kept)));
-        journal.tell(true, rows(SMALL_LIST / 2, SMALL_LIST / 2, "ready", kept));
+        journal.publish(true, rows(SMALL_LIST / 2, SMALL_LIST / 2, "ready", kept));
         assertOnlyUses(kept, removed);
-        journal.tell(true, concat(rows(0, SMALL_LIST / 2, "ready", removed),
+        journal.publish(true, concat(rows(0, SMALL_LIST / 2, "ready", removed),
                 rows(SMALL_LIST / 2, SMALL_LIST / 2, "gone", kept)));
         assertOnlyUses(removed, kept);
         assertNoFailures();
@@ -345,7 +345,7 @@
             if (command.words().get(command.words().size() - 1).equals("slow")) {
                 heldCommands.add(command);
             } else {
-                EngineStandIn.pages(1).accept(command);
+                EngineStandIn.answerWithPages(1).accept(command);
             }
         }));
         EngineStandIn second = engine(1);
@@ -356,11 +356,11 @@
         Client slow = client().send(Client.pack(List.of(0, 1, "lookup", List.of(fields, "slow".getBytes()))));
         await("the query at the engine", () -> !heldCommands.isEmpty());
         // The same names at other addresses, and other names at the old addresses, none of them ready.
-        journal.tell(true, concat(rows(0, 20, "ready", second), rows(100, 20, "draining", first)));
+        journal.publish(true, concat(rows(0, 20, "ready", second), rows(100, 20, "draining", first)));
         assertOnlyUses(second, first);
-        journal.tell(true, concat(rows(200, 20, "ready", first), rows(300, 20, "draining", second)));
+        journal.publish(true, concat(rows(200, 20, "ready", first), rows(300, 20, "draining", second)));
         assertOnlyUses(first, second);
-        EngineStandIn.pages(1).accept(heldCommands.get(0));
+        EngineStandIn.answerWithPages(1).accept(heldCommands.get(0));
         assertTrue(Client.rows(slow.read()) != null, "a running query finishes on its engine");
         assertNoFailures();
     }
@@ -372,15 +372,15 @@
         startServing(rows(0, 2, "ready", first));
         String list = "id: 2\ndata: " + event(2, true, rows(0, SMALL_LIST, "ready", second)) + "\n\n";
         for (int length : new int[] {list.length() / 2, list.length() - 1}) {
-            int subscriptionsBefore = journal.calledFrom.size();
+            int subscriptionsBefore = journal.requestPositions.size();
             journal.send(list.substring(0, length));
             assertOnlyUses(first, second);
-            journal.reset();
-            await("the next subscription", () -> journal.calledFrom.size() > subscriptionsBefore);
-            assertEquals("1", journal.calledFrom.get(subscriptionsBefore));
+            journal.resetConnections();
+            await("the next subscription", () -> journal.requestPositions.size() > subscriptionsBefore);
+            assertEquals("1", journal.requestPositions.get(subscriptionsBefore));
             assertOnlyUses(first, second);
         }
-        journal.tell(true, rows(0, SMALL_LIST, "ready", second));
+        journal.publish(true, rows(0, SMALL_LIST, "ready", second));
         assertOnlyUses(second, first);
         assertNoFailures();
     }
@@ -409,9 +409,9 @@
         EngineStandIn second = engine(1);
         startServing(rows(0, 2, "ready", first));
         sendHeartbeats();
-        CompletableFuture<Void> sending = CompletableFuture.runAsync(() -> journal.together(() -> {
+        CompletableFuture<Void> sending = CompletableFuture.runAsync(() -> journal.publishInOneWrite(() -> {
             for (int k = 0; k < 6; k++) {
-                journal.tell(true, rows(0, 10_000, "ready", k % 2 == 0 ? first : second));
+                journal.publish(true, rows(0, 10_000, "ready", k % 2 == 0 ? first : second));
             }
         }));
         for (int k = 0; k < 10; k++) {
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import io.netty.buffer.Unpooled;
@@ -145,7 +145,7 @@
             return null;
         });
         ask(remaining, 2, 5_000);
-        assertTrue(engine.seen("fetch").stream().noneMatch(c -> c.id().equals(trace)),
+        assertTrue(engine.received("fetch").stream().noneMatch(c -> c.id().equals(trace)),
                 "sent 250 ms after its client had closed");
     }
 
@@ -179,14 +179,14 @@
         });
         assertEquals("Shed", Client.error(client.read()));
         ask(client, 3, 5_000);
-        assertTrue(engine.seen("fetch").stream().noneMatch(c -> c.id().equals(trace)),
+        assertTrue(engine.received("fetch").stream().noneMatch(c -> c.id().equals(trace)),
                 "sent 300 ms after its deadline");
     }
 
     /** If carrying out a decision fails, the query is still answered before its deadline. */
     @Example
     void errorOnTheLoopStillGetsAnAnswer() throws Exception {
-        EngineStandIn engine = open(new EngineStandIn(EngineStandIn.pages(1)));
+        EngineStandIn engine = open(new EngineStandIn(EngineStandIn.answerWithPages(1)));
         int port = startListener(engine);
         afterDecision = () -> {
             throw new OutOfMemoryError("forced");
@@ -201,7 +201,7 @@
     /** While a listener is not bound yet, the periodic checks of connections go on. */
     @Example
     void unboundListenerDoesNotStopConnectionChecks() throws Exception {
-        int port = startListener(open(new EngineStandIn(EngineStandIn.pages(1))));
+        int port = startListener(open(new EngineStandIn(EngineStandIn.answerWithPages(1))));
         onLoop(() -> Startup.server(loop, front, limits));
         Client silent = open(new Client(port));
         silent.socket.setSoTimeout(limits.tick * (limits.silentTicks + 6));
@@ -216,7 +216,7 @@
     }
 
     private EngineStandIn engine() throws IOException {
-        return open(new EngineStandIn(EngineStandIn.pages(1)));
+        return open(new EngineStandIn(EngineStandIn.answerWithPages(1)));
     }
 
     private static Host listed(String name, EngineStandIn engine, Event.Health health) throws Exception {
@@ -232,7 +232,8 @@
         EngineStandIn drained = engine();
         EngineStandIn other = engine();
         JournalStandIn journal = open(new JournalStandIn());
-        journal.tell(true, host("e0", drained.address(), "ready"), host("e1", other.address(), "ready"));
+        journal.publish(true, engineRow("e0", drained.address(), "ready"),
+                engineRow("e1", other.address(), "ready"));
         onLoop(() -> {
             Journal follower = new Journal(loop, front, limits,
                     FrontConfiguration.address(journal.address(), "journal"), 1);
@@ -248,7 +249,7 @@
             client.send(Client.query(1, Client.trace(), 5_000, "select")).read();
             clients.add(client);
         }
-        assertTrue(!drained.seen.isEmpty() && !other.seen.isEmpty(), "both engines are in use");
+        assertTrue(!drained.received.isEmpty() && !other.received.isEmpty(), "both engines are in use");
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
@@ -256,18 +257,18 @@
             awaitLatch(release);
         });
         blocked.await();
-        int before = drained.seen.size();
+        int before = drained.received.size();
         for (Client client : clients) {
             client.send(Client.query(2, Client.trace(), 5_000, "select"));
         }
         Thread.sleep(50);
-        journal.tell(false, host("e0", drained.address(), "draining"));
+        journal.publish(false, engineRow("e0", drained.address(), "draining"));
         Thread.sleep(50);
         release.countDown();
         for (Client client : clients) {
             assertNotEquals(null, Client.rows(client.read()));
         }
-        assertEquals(before, drained.seen.size(), "sent after the drain notice had arrived");
+        assertEquals(before, drained.received.size(), "sent after the drain notice had arrived");
     }
 
     /** Clients, engines and closing connections at their limits leave the reserved descriptors free. */
@@ -290,7 +291,7 @@
         JournalStandIn journal = open(new JournalStandIn());
         EngineStandIn engine = engine();
         for (int k = 0; k < 200; k++) {
-            journal.tell(k % 10 == 9, host("e" + k, engine.address(), "ready"));
+            journal.publish(k % 10 == 9, engineRow("e" + k, engine.address(), "ready"));
         }
         Journal follower = onLoop(() -> {
             Journal made = new Journal(loop, front, limits,
@@ -322,7 +323,7 @@
                     listed("e1", second, Event.Health.UP)));
             return channel;
         });
-        await("the submission to the other engine", () -> !second.seen.isEmpty());
+        await("the submission to the other engine", () -> !second.received.isEmpty());
         await("its answer", () -> {
             try {
                 return onLoop(() -> !client.outboundMessages().isEmpty());
@@ -330,7 +331,7 @@
                 throw new AssertionError(e);
             }
         });
-        assertTrue(first.seen.isEmpty(), "sent to a draining engine");
+        assertTrue(first.received.isEmpty(), "sent to a draining engine");
         onLoop(client::finishAndReleaseAll);
     }
 
@@ -352,7 +353,7 @@
         CountDownLatch release = new CountDownLatch(1);
         blockLoop(order, blocked, release, client);
         blocked.await();
-        EngineStandIn.pages(1).accept(asked.get(0));
+        EngineStandIn.answerWithPages(1).accept(asked.get(0));
         sleep(200);
         release.countDown();
         await("the timer", () -> !order.isEmpty());
--- a/src/test/java/reedspring/net/ShortDeadlinesIT.java
+++ b/src/test/java/reedspring/net/ShortDeadlinesIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -32,7 +32,7 @@
     private void startWith(int deadlineMs, EngineStandIn engine) throws Exception {
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready")));
+                event(1, true, engineRow("e0", engine.address(), "ready")));
         String deadline = "\"deadlineMs\":" + deadlineMs + ".0,";
         front = open(new Program(config.replace("\"aimMs\"", deadline + "\"aimMs\""))).awaitReady();
     }
@@ -92,8 +92,8 @@
     /** Sends queries until one reaches the engine: a front just started may be slower than the deadline. */
     private void requestUntilOneIsSent(EngineStandIn engine, int deadlineMs) throws Exception {
         Client first = client();
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Rig.PATIENCE_S);
-        for (int id = 1; engine.seen("fetch").isEmpty(); id++) {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Rig.TIMEOUT_S);
+        for (int id = 1; engine.received("fetch").isEmpty(); id++) {
             assertTrue(System.nanoTime() < until, "no query reaches the engine");
             first.send(Client.query(id, Client.trace(), deadlineMs, "select")).read();
         }
--- a/src/test/java/reedspring/net/SpoolIT.java
+++ b/src/test/java/reedspring/net/SpoolIT.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import java.io.IOException;
@@ -43,14 +43,14 @@
 
     private void start(String extraSettings, String effect) throws Exception {
         if (engine == null) {
-            engine = open(new EngineStandIn(EngineStandIn.pages(PAGES)));
+            engine = open(new EngineStandIn(EngineStandIn.answerWithPages(PAGES)));
             journal = open(new JournalStandIn());
         }
         Path settings = Files.writeString(folder.resolveSibling("own.ini"), "[spool]\nfolder = " + folder
                 + "\nkey_file = " + key + (extraSettings.contains("total") ? "\n" : "\ntotal = 64MB\n")
                 + extraSettings);
         String config = Program.configJson(listen, journal.address(), event(1, true,
-                host("e0", engine.address(), "ready"))).replace("repeatable", effect);
+                engineRow("e0", engine.address(), "ready"))).replace("repeatable", effect);
         front = open(shim == null ? Program.withSettings(config, settings)
                 : Program.withSettings(config, settings, shim)).awaitReady();
         await("the end of recovery", () -> front.logged("answers found") || front.logged("can't be used"));
@@ -115,7 +115,7 @@
         Client client = client();
         String trace = Client.trace();
         String handle = keep(client, 1, trace);
-        await("the engine to finish", () -> engine.seen("done").size() == 1);
+        await("the engine to finish", () -> engine.received("done").size() == 1);
         assertPages(client, handle, trace, 39, 0, 1, 1, 17);
         // A query that doesn't request pages isn't kept; its large answer is an error.
         assertNotNull(Client.error(client.send(Client.query(2, Client.trace(), 1_000, "select")).read()));
@@ -146,7 +146,7 @@
         // A front of another name must not serve the answers.
         killFront();
         String config = Program.configJson(listen, journal.address(), event(1, true,
-                host("e0", engine.address(), "ready"))).replace("\"n0\"", "\"n1\"");
+                engineRow("e0", engine.address(), "ready"))).replace("\"n0\"", "\"n1\"");
         front = open(Program.withSettings(config, folder.resolveSibling("own.ini"))).awaitReady();
         String handle = kept.values().iterator().next();
         await("the segment to be rejected", () -> front.logged("left as it is, it is of front n0"));
@@ -206,7 +206,7 @@
         Path settings = folder.resolveSibling("own.ini");
         Program second = open(Program.withSettings(
                 Program.configJson(Program.freeAddress(), journal.address(),
-                        event(1, true, host("e0", engine.address(), "ready"))), settings));
+                        event(1, true, engineRow("e0", engine.address(), "ready"))), settings));
         assertTrue(second.process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(78, second.process.exitValue());
         await("the log message", () -> second.logged("held by another front"));
--- a/src/test/java/reedspring/net/StallsIT.java
+++ b/src/test/java/reedspring/net/StallsIT.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 import static reedspring.rig.Rig.await;
 
 import io.netty.channel.EventLoop;
@@ -175,7 +175,7 @@
         Path pipe = Files.createTempDirectory("reedspring").resolve("log");
         journal = open(new JournalStandIn());
         front = open(Program.withFullLogPipe(Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine(1).address(), "ready"))), pipe));
+                event(1, true, engineRow("e0", engine(1).address(), "ready"))), pipe));
         await("the front to serve", () -> {
             try {
                 serves();
--- a/src/test/java/reedspring/net/Started.java
+++ b/src/test/java/reedspring/net/Started.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.rig.JournalStandIn.event;
-import static reedspring.rig.JournalStandIn.host;
+import static reedspring.rig.JournalStandIn.engineRow;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
     }
 
     final EngineStandIn engine(int pages) throws IOException {
-        return open(new EngineStandIn(EngineStandIn.pages(pages)));
+        return open(new EngineStandIn(EngineStandIn.answerWithPages(pages)));
     }
 
     final EngineStandIn silentEngine() throws IOException {
@@ -49,7 +49,7 @@
     final void start(EngineStandIn... engines) throws Exception {
         String[] hosts = new String[engines.length];
         for (int k = 0; k < hosts.length; k++) {
-            hosts[k] = host("e" + k, engines[k].address(), "ready");
+            hosts[k] = engineRow("e" + k, engines[k].address(), "ready");
         }
         startWith(hosts);
     }
@@ -72,7 +72,7 @@
     final void startHeedingCancels(EngineStandIn engine) throws Exception {
         journal = open(new JournalStandIn());
         String config = Program.configJson(Program.freeAddress(), journal.address(),
-                event(1, true, host("e0", engine.address(), "ready")));
+                event(1, true, engineRow("e0", engine.address(), "ready")));
         front = open(new Program(config.replace("\"cancel\":false", "\"cancel\":true"))).awaitReady();
     }
 }
--- a/src/test/java/reedspring/net/UsedTracesIT.java
+++ b/src/test/java/reedspring/net/UsedTracesIT.java
@@ -19,7 +19,7 @@
     private static final String FOREIGN = "select 2";
 
     private static List<String> statementsSentTo(EngineStandIn engine) {
-        return engine.seen("fetch").stream().map(command -> command.words().get(3)).toList();
+        return engine.received("fetch").stream().map(command -> command.words().get(3)).toList();
     }
 
     private void assertRefused(String trace) throws Exception {
@@ -47,7 +47,7 @@
         start(silent);
         String trace = Client.trace();
         Client client = client().send(Client.query(1, trace, PATIENCE, OWN));
-        await("the query at the engine", () -> silent.seen("fetch").size() == 1);
+        await("the query at the engine", () -> silent.received("fetch").size() == 1);
         client.send(Client.pack(List.of(2, "revoke", List.of(1))));
         // The answer to a heartbeat sent afterwards shows that the revoke has been read.
         client.send(Client.pack(List.of(0, 2, "heartbeat", List.of(Client.fields("", 0))))).read();
@@ -68,7 +68,7 @@
         List<?> turnedAway = client.send(Client.query(33, trace, PATIENCE, OWN)).read();
         assertEquals(List.of(33L, "Shed"), List.of(turnedAway.get(1), Client.error(turnedAway)));
         assertRefused(trace);
-        assertTrue(silent.seen("fetch").stream().noneMatch(command -> command.id().equals(trace)));
+        assertTrue(silent.received("fetch").stream().noneMatch(command -> command.id().equals(trace)));
     }
 
     /** The same 16 hex digits in upper case are the same trace. */
@@ -78,7 +78,7 @@
         start(silent);
         String trace = "00000000abcdef01";
         client().send(Client.query(1, trace, PATIENCE, OWN));
-        await("the query at the engine", () -> silent.seen("fetch").size() == 1);
+        await("the query at the engine", () -> silent.received("fetch").size() == 1);
         assertRefused(trace.toUpperCase(java.util.Locale.ROOT));
         assertEquals(List.of(OWN), statementsSentTo(silent));
     }
--- a/src/test/java/reedspring/rig/scale/JournalServiceTest.java
+++ b/src/test/java/reedspring/rig/scale/JournalServiceTest.java
@@ -30,7 +30,7 @@
             socket.setReceiveBufferSize(8_192);
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(),
                     Integer.parseInt(address.substring(address.indexOf(':') + 1))));
-            socket.setSoTimeout((int) Rig.PATIENCE_S * 1000);
+            socket.setSoTimeout((int) Rig.TIMEOUT_S * 1000);
             socket.getOutputStream().write(("GET /journal HTTP/1.1\r\nHost: x\r\nLast-Event-ID: "
                     + lastEventId + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
--- a/src/test/java/reedspring/rig/scale/ScaleIT.java
+++ b/src/test/java/reedspring/rig/scale/ScaleIT.java
@@ -80,7 +80,7 @@
         List<ProcessHandle> children = main.descendants().toList();
         assertEquals(0, new ProcessBuilder("prlimit", "--pid", Long.toString(main.pid()), "--nofile=64:")
                 .start().waitFor());
-        assertTrue(main.waitFor(Rig.PATIENCE_S, TimeUnit.SECONDS), readText(errors));
+        assertTrue(main.waitFor(Rig.TIMEOUT_S, TimeUnit.SECONDS), readText(errors));
         assertNotEquals(0, main.exitValue());
         assertTrue(readText(errors).contains("Too many open files"), readText(errors));
         assertNothingIsLeft(children, directory);
