--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -43,7 +43,7 @@
      * @param needMb the memory that the client states
      * @param patienceMs how long the client waits for an answer
      */
-    public record Draw(String group, double workMs, double needMb, int patienceMs) {
+    public record GeneratedQuery(String group, double workMs, double needMb, int patienceMs) {
     }
 
     private static final int CLIENTS = 8;
@@ -81,7 +81,7 @@
     }
 
     private final Loop loop;
-    private final Function<SplittableRandom, Draw> queryGenerator;
+    private final Function<SplittableRandom, GeneratedQuery> queryGenerator;
     private final double queriesPerSecond;
     private final SplittableRandom random;
     private final Front front;
@@ -91,7 +91,7 @@
     private final Map<String, Long> lastSentNanos = new HashMap<>();
     private final Map<String, Long> firstSentNanos = new HashMap<>();
     private final ArrayDeque<long[]> effectiveTimes = new ArrayDeque<>();
-    private final Map<String, Integer> logged = new HashMap<>();
+    private final Map<String, Integer> countLogged = new HashMap<>();
     private final AtomicReference<String> pendingReload = new AtomicReference<>();
     private long lastTrace;
     private long generatedQueries;
@@ -109,7 +109,7 @@
      * @throws IllegalStateException if the configuration can't be used, naming the field
      */
     public HollowFront(Loop loop, Path config, double queriesPerSecond,
-            Function<SplittableRandom, Draw> queryGenerator) {
+            Function<SplittableRandom, GeneratedQuery> queryGenerator) {
         this.loop = loop;
         this.queryGenerator = queryGenerator;
         this.queriesPerSecond = queriesPerSecond;
@@ -149,7 +149,7 @@
         }
     }
 
-    private void submitQuery(Draw query) {
+    private void submitQuery(GeneratedQuery query) {
         Map<String, String> fields = new HashMap<>();
         fields.put("trace", String.format("%016x", ++lastTrace));
         fields.put("patience", Integer.toString(query.patienceMs()));
@@ -246,7 +246,7 @@
     }
 
     private String countLogLine(String level, String event, String detail, int more) {
-        logged.merge(detail.isEmpty() ? event : event + ": " + detail, 1 + more, Integer::sum);
+        countLogged.merge(detail.isEmpty() ? event : event + ": " + detail, 1 + more, Integer::sum);
         return "";
     }
 
@@ -270,30 +270,30 @@
     }
 
     /** When this journal position or a later one took effect in this front; 0 if none has yet. */
-    public long inForceAt(long number) {
-        return loop.call(() -> effectiveTimes.stream().filter(seen -> seen[0] >= number)
+    public long effectiveAtNanos(long position) {
+        return loop.call(() -> effectiveTimes.stream().filter(seen -> seen[0] >= position)
                 .mapToLong(seen -> seen[1])
                 .findFirst().orElse(0));
     }
 
     /** When the front last sent a submission to the engine; 0 if never. */
-    public long lastSentTo(String engine) {
+    public long lastSentToNanos(String engine) {
         return loop.call(() -> lastSentNanos.getOrDefault(engine, 0L));
     }
 
     /** When the front first sent a submission to the engine since it was listed; 0 if never. */
-    public long firstSentTo(String engine) {
+    public long firstSentToNanos(String engine) {
         return loop.call(() -> firstSentNanos.getOrDefault(engine, 0L));
     }
 
     /** Number of log lines that start with {@code start}; a line is an event, or {@code event: detail}. */
-    public int logged(String start) {
-        return loop.call(() -> logged.entrySet().stream().filter(line -> line.getKey().startsWith(start))
+    public int countLogged(String start) {
+        return loop.call(() -> countLogged.entrySet().stream().filter(line -> line.getKey().startsWith(start))
                 .mapToInt(Map.Entry::getValue).sum());
     }
 
     /** The numbers of generated queries, of answers of any kind, and of submissions that finished. */
-    public long[] queries() {
+    public long[] queryCounts() {
         return loop.call(() -> {
             clients.forEach(this::countAnswers);
             return new long[] {generatedQueries, answers, finishedSubmissions};
--- a/src/rig/java/reedspring/net/JournalReading.java
+++ b/src/rig/java/reedspring/net/JournalEventParser.java
@@ -9,24 +9,24 @@
 import reedspring.boot.BootException;
 
 /** Runs the front's parser of journal events without a front: the lines of the stream, then the rows. */
-public final class JournalReading {
+public final class JournalEventParser {
     private static final int CHUNK_BYTES = 16_384;
     /** The stream's limit on keep-alive lines, which has no effect here. */
     private static final int KEEP_ALIVE_LINE_BYTES = 4_096;
     private Object parsed;
 
     /** Drops the reference to the last parsed event. */
-    public void forget() {
+    public void releaseParsed() {
         parsed = null;
     }
 
     /** Maximum size of an event in bytes; a front skips larger ones. */
-    public static int most() throws BootException {
+    public static int maxEventBytes() throws BootException {
         return new Limits(new Boot(Map.of()), 1024, 256).journalBytes;
     }
 
     /** The maximum numbers of clients, engines and queries for a limit on descriptors and one on memory. */
-    public static Map<String, Integer> holds(int sockets, int memoryMb) throws BootException {
+    public static Map<String, Integer> capacities(int sockets, int memoryMb) throws BootException {
         Limits limits = new Limits(new Boot(Map.of()), sockets, memoryMb);
         return Map.of("clients", limits.clientConnections, "engines", limits.allEngineConnections,
                 "queries", limits.queries);
--- a/src/rig/java/reedspring/rig/FaultShim.java
+++ b/src/rig/java/reedspring/rig/FaultShim.java
@@ -94,7 +94,7 @@
     }
 
     /** Disables all faults; the count of failed calls stays. */
-    public void calm() {
+    public void clearFaults() {
         for (Fault fault : Fault.values()) {
             if (fault != Fault.FAILED_CALLS) {
                 set(fault, 0);
--- a/src/rig/java/reedspring/rig/MemoryDisk.java
+++ b/src/rig/java/reedspring/rig/MemoryDisk.java
@@ -41,8 +41,8 @@
     private Map<String, Content> durableFiles = new TreeMap<>();
     private long steps;
     private long crashAt = Long.MAX_VALUE;
-    private double faults;
-    private long room = Long.MAX_VALUE;
+    private double faultRatio;
+    private long capacityBytes = Long.MAX_VALUE;
     private boolean crashed;
 
     public MemoryDisk(long seed) {
@@ -50,18 +50,18 @@
     }
 
     /** Schedules a crash {@code count} steps from now. */
-    public void crashAfter(long count) {
+    public void crashAfterSteps(long count) {
         crashAt = steps + count;
     }
 
     /** Sets the ratio of operations that fail with an I/O error from now on. */
-    public void faults(double ratio) {
-        faults = ratio;
+    public void faultRatio(double ratio) {
+        faultRatio = ratio;
     }
 
-    /** Sets the capacity of the disk. */
-    public void room(long bytes) {
-        room = bytes;
+    /** Sets the capacity of the disk; a write beyond it fails. */
+    public void capacityBytes(long bytes) {
+        capacityBytes = bytes;
     }
 
     public long steps() {
@@ -88,7 +88,7 @@
         durableFiles = new TreeMap<>(surviving);
         crashed = false;
         crashAt = Long.MAX_VALUE;
-        faults = 0;
+        faultRatio = 0;
     }
 
     private List<String> allNames() {
@@ -115,7 +115,7 @@
      * Flips one random bit, after the first 64 bytes, in a file whose name ends in {@code ending}; false if
      * there is no such file.
      */
-    public boolean flip(String ending) {
+    public boolean flipBit(String ending) {
         List<Content> candidates = files.entrySet().stream()
                 .filter(e -> e.getKey().endsWith(ending)
                         && e.getValue().size > 64).map(Map.Entry::getValue).toList();
@@ -135,7 +135,7 @@
     }
 
     private void failRandomly(String operation) throws IOException {
-        if (faults > 0 && random.nextDouble() < faults) {
+        if (faultRatio > 0 && random.nextDouble() < faultRatio) {
             throw new IOException(operation + " failed");
         }
     }
@@ -170,7 +170,7 @@
                 try {
                     step();
                     failRandomly("writing");
-                    if (used() + length > room) {
+                    if (used() + length > capacityBytes) {
                         throw new IOException("no space left on the disk");
                     }
                 } catch (IOException | Crash e) {
--- a/src/rig/java/reedspring/rig/scale/ChildMain.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -155,23 +155,23 @@
                 }
                 case "force" -> {
                     int eventNumber = Integer.parseInt(words[1]);
-                    return formatPairs(fronts, front -> front.inForceAt(eventNumber));
+                    return formatPairs(fronts, front -> front.effectiveAtNanos(eventNumber));
                 }
                 case "sent" -> {
-                    return formatPairs(fronts, front -> front.lastSentTo(words[1]));
+                    return formatPairs(fronts, front -> front.lastSentToNanos(words[1]));
                 }
                 case "first" -> {
-                    return formatPairs(fronts, front -> front.firstSentTo(words[1]));
+                    return formatPairs(fronts, front -> front.firstSentToNanos(words[1]));
                 }
                 case "digest" -> {
                     return formatPairs(fronts, HollowFront::digest);
                 }
                 case "logged" -> {
                     String text = words[1].replace('_', ' ');
-                    return formatPairs(fronts, front -> front.logged(text));
+                    return formatPairs(fronts, front -> front.countLogged(text));
                 }
                 case "queries" -> {
-                    return formatPairs(fronts, front -> Arrays.stream(front.queries())
+                    return formatPairs(fronts, front -> Arrays.stream(front.queryCounts())
                             .mapToObj(Long::toString).collect(Collectors.joining("/")));
                 }
                 case "cost" -> {
@@ -185,10 +185,11 @@
         }
 
         private void start(int front) {
-            Function<SplittableRandom, HollowFront.Draw> queryGenerator = random -> {
+            Function<SplittableRandom, HollowFront.GeneratedQuery> queryGenerator = random -> {
                 int group = timetable.mix().group(random);
-                return new HollowFront.Draw(Terms.GROUPS[group], timetable.mix().workMs(group, random),
-                        timetable.mix().needMb(group, random), Terms.leavesMs(timetable, group));
+                return new HollowFront.GeneratedQuery(Terms.GROUPS[group],
+                        timetable.mix().workMs(group, random), timetable.mix().needMb(group, random),
+                        Terms.leavesMs(timetable, group));
             };
             fronts.put(front, new HollowFront(loops.get(front % loops.size()),
                     configurationFile(directory, front, "a"), queriesPerSecond, queryGenerator));
--- a/src/rig/java/reedspring/rig/scale/Slopes.java
+++ b/src/rig/java/reedspring/rig/scale/Slopes.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import reedspring.net.JournalReading;
+import reedspring.net.JournalEventParser;
 import reedspring.rig.Rig;
 import reedspring.rig.scale.Figures.Figure;
 
@@ -313,15 +313,15 @@
     }
 
     private void measureJournal() throws Exception {
-        JournalReading reading = new JournalReading();
-        int maxEventBytes = JournalReading.most();
+        JournalEventParser reading = new JournalEventParser();
+        int maxEventBytes = JournalEventParser.maxEventBytes();
         fronts = 0;
         engines = 0;
         recordFigure("journal_event_bound", "B", 0, 0, maxEventBytes);
         for (int sockets : new int[] {1_024, 4_096, 16_384}) {
             for (String resource : List.of("clients", "engines", "queries")) {
                 recordFigure("front_holds_" + resource, "count of " + sockets + " descriptors", 0, 0,
-                        JournalReading.holds(sockets, MEMORY_MB).get(resource));
+                        JournalEventParser.capacities(sockets, MEMORY_MB).get(resource));
             }
         }
         byte[] smallEvent = ControlDriver.fullListEvent(ENGINE_COUNTS[2]);
@@ -342,7 +342,7 @@
                 recordFigure("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
                         Thread.currentThread().getId()) - allocatedBefore) / 1e6);
                 double heapWithEvent = heapMb();
-                reading.forget();
+                reading.releaseParsed();
                 recordFigure("journal_event_heap", "MB", 0, 0, heapWithEvent - heapMb());
                 recordFigure("journal_event_cpu", "ms", 0, 0, cpuNanosPerCall("journal_event_cpu", 2_000,
                         () -> reading.read(event, Integer.MAX_VALUE)) / 1e6);
--- a/src/test/java/reedspring/net/ListSizeTest.java
+++ b/src/test/java/reedspring/net/ListSizeTest.java
@@ -26,12 +26,12 @@
     /** The largest list within the limit is read with all its rows; with one more row it is dropped. */
     @Example
     void listIsReadUpToTheEventSizeLimitOnly() throws Exception {
-        int maxEventBytes = JournalReading.most();
+        int maxEventBytes = JournalEventParser.maxEventBytes();
         int rows = 0;
         for (int step = 1 << 16; step > 0; step >>= 1) {
             rows += dataLineLength(rows + step) <= maxEventBytes ? step : 0;
         }
-        JournalReading reading = new JournalReading();
+        JournalEventParser reading = new JournalEventParser();
         assertEquals(rows, reading.read(event(rows), maxEventBytes));
         assertEquals(-1, reading.read(event(rows + 1), maxEventBytes));
     }
@@ -39,7 +39,7 @@
     @Example
     void listsOfAnySizeAreRead() {
         for (int rows : new int[] {0, 1, 100_000}) {
-            assertEquals(rows, new JournalReading().read(event(rows), Integer.MAX_VALUE));
+            assertEquals(rows, new JournalEventParser().read(event(rows), Integer.MAX_VALUE));
         }
     }
 }
--- a/src/test/java/reedspring/net/SpoolIT.java
+++ b/src/test/java/reedspring/net/SpoolIT.java
@@ -173,7 +173,7 @@
             killFront();
             start("keep = 1h\n", "repeatable");
             assertAllReadable(kept);
-            shim.calm();
+            shim.clearFaults();
             String trace = Client.trace();
             kept.put(trace, keep(client(), 10, trace));
             killFront();
--- a/src/test/java/reedspring/spool/SpoolTest.java
+++ b/src/test/java/reedspring/spool/SpoolTest.java
@@ -92,7 +92,7 @@
     void committedAnswersSurviveACrashAtAnyPoint(@ForAll long seed) {
         SpoolHarness harness = new SpoolHarness(seed);
         for (int run = 0; run < 3; run++) {
-            harness.disk.crashAfter(harness.random.nextInt(500));
+            harness.disk.crashAfterSteps(harness.random.nextInt(500));
             try {
                 for (int step = 0; step < 2_000; step++) {
                     randomStep(harness);
@@ -103,7 +103,7 @@
             }
             harness.disk.restart();
             for (boolean started = false; !started; ) {
-                harness.disk.crashAfter(harness.random.nextInt(3) == 0 ? harness.random.nextInt(8)
+                harness.disk.crashAfterSteps(harness.random.nextInt(3) == 0 ? harness.random.nextInt(8)
                         : Long.MAX_VALUE / 2);
                 try {
                     harness.start();
@@ -112,7 +112,7 @@
                     harness.disk.restart();
                 }
             }
-            harness.disk.crashAfter(Long.MAX_VALUE / 2);
+            harness.disk.crashAfterSteps(Long.MAX_VALUE / 2);
             harness.runUntilIdle();
             harness.checkHeldAnswers();
             assertTrue(harness.corrupt.isEmpty(), harness.logTexts::toString);
@@ -125,14 +125,14 @@
         SpoolHarness harness = new SpoolHarness(seed);
         for (int step = 0; step < 2_000; step++) {
             if (step % 100 == 0) {
-                harness.disk.faults(harness.random.nextInt(3) == 0 ? 0.05 : 0);
-                harness.disk.room(harness.random.nextInt(6) == 0 ? harness.disk.used() + 5_000
+                harness.disk.faultRatio(harness.random.nextInt(3) == 0 ? 0.05 : 0);
+                harness.disk.capacityBytes(harness.random.nextInt(6) == 0 ? harness.disk.used() + 5_000
                         : Long.MAX_VALUE);
             }
             randomStep(harness);
         }
-        harness.disk.faults(0);
-        harness.disk.room(Long.MAX_VALUE);
+        harness.disk.faultRatio(0);
+        harness.disk.capacityBytes(Long.MAX_VALUE);
         harness.runUntilIdle();
         harness.checkHeldAnswers();
         assertTrue(harness.corrupt.isEmpty(), harness.logTexts::toString);
@@ -158,7 +158,7 @@
         }
         int flips = 1 + harness.random.nextInt(3);
         for (int k = 0; k < flips; k++) {
-            harness.disk.flip(sealed && harness.random.nextInt(4) == 0 ? ".idx" : ".seg");
+            harness.disk.flipBit(sealed && harness.random.nextInt(4) == 0 ? ".idx" : ".seg");
         }
         harness.disk.restart();
         harness.start();
@@ -299,12 +299,12 @@
         harness.begin("acme", true, 1_000_000_000);
         harness.begin("acme", true, 0);
         assertEquals(2, harness.refusedCount);
-        harness.disk.faults(1);
+        harness.disk.faultRatio(1);
         harness.begin("acme", true, 2);
         harness.deliverPage();
         harness.runUntilIdle();
         assertEquals(1, harness.lostCount);
-        harness.disk.faults(0);
+        harness.disk.faultRatio(0);
         harness.begin("acme", true, 2);
         assertEquals(3, harness.refusedCount);
         harness.now += TERMS.initialBackoff();
--- a/src/test/java/reedspring/spool/store/KeeperTest.java
+++ b/src/test/java/reedspring/spool/store/KeeperTest.java
@@ -166,7 +166,7 @@
         keep(first, 1);
         await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
         disk.restart();
-        disk.faults(1);
+        disk.faultRatio(1);
         readsFail = true;
         events.clear();
         Keeper restarted = new Keeper(new Store(new StallingDisk(), "n0", 100), loop, new Keeper.Listener() {
@@ -202,10 +202,10 @@
         await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
         syncAllowed = new CountDownLatch(1);
         keep(second, 1);
-        disk.faults(1);
+        disk.faultRatio(1);
         syncAllowed.countDown();
         await("the segment's failure", () -> events.stream().anyMatch(Word.SegmentFailed.class::isInstance));
-        disk.faults(0);
+        disk.faultRatio(0);
         keep(third, 1);
         await("the third answer's page to be released",
                 () -> events.contains(new Word.PageWritten(third, 0)));
