--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -91,7 +91,7 @@
     private final Map<String, Long> lastSentNanos = new HashMap<>();
     private final Map<String, Long> firstSentNanos = new HashMap<>();
     private final ArrayDeque<long[]> effectiveTimes = new ArrayDeque<>();
-    private final Map<String, Integer> countLogged = new HashMap<>();
+    private final Map<String, Integer> logLineCounts = new HashMap<>();
     private final AtomicReference<String> pendingReload = new AtomicReference<>();
     private long lastTrace;
     private long generatedQueries;
@@ -246,7 +246,7 @@
     }
 
     private String countLogLine(String level, String event, String detail, int more) {
-        countLogged.merge(detail.isEmpty() ? event : event + ": " + detail, 1 + more, Integer::sum);
+        logLineCounts.merge(detail.isEmpty() ? event : event + ": " + detail, 1 + more, Integer::sum);
         return "";
     }
 
@@ -288,8 +288,8 @@
 
     /** Number of log lines that start with {@code start}; a line is an event, or {@code event: detail}. */
     public int countLogged(String start) {
-        return loop.call(() -> countLogged.entrySet().stream().filter(line -> line.getKey().startsWith(start))
-                .mapToInt(Map.Entry::getValue).sum());
+        return loop.call(() -> logLineCounts.entrySet().stream()
+                .filter(line -> line.getKey().startsWith(start)).mapToInt(Map.Entry::getValue).sum());
     }
 
     /** The numbers of generated queries, of answers of any kind, and of submissions that finished. */
--- a/src/rig/java/reedspring/rig/fleet/Fleet.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleet.java
@@ -26,7 +26,7 @@
 import reedspring.rig.Rig;
 import reedspring.rig.fleet.Timetable.Entry;
 import reedspring.rig.fleet.Timetable.Link;
-import reedspring.rig.fleet.Timetable.What;
+import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * Runs a timetable on front processes with simulated engines and clients and a journal stand-in for each
@@ -91,7 +91,7 @@
         private Front(int index) throws IOException, InterruptedException {
             this.index = index;
             this.startFaultRandom = new SplittableRandom(seed ^ index);
-            this.shim = timetable.entries().stream().anyMatch(e -> e.what().needsFaultShim())
+            this.shim = timetable.entries().stream().anyMatch(e -> e.type().needsFaultShim())
                     ? new FaultShim() : null;
             this.listenAddress = Program.freeAddress();
             this.journal = new JournalStandIn();
@@ -116,14 +116,14 @@
         private String listing(SimulatedEngine engine, String health) {
             return JournalStandIn.engineRow(engine.name, engineLinks[engine.index].address(),
                     String.valueOf(timetable.site(engine.index)),
-                    Terms.kind(timetable.cores(engine.index)), health, engine.startedAtMs);
+                    FleetSettings.kind(timetable.cores(engine.index)), health, engine.startedAtMs);
         }
 
         private void start() throws IOException {
             String[] known = engineSlots.stream().map(slot -> listing(slot.engine, slot.health))
                     .toArray(String[]::new);
             int position = journal.position();
-            config = Terms.config(timetable, index, listenAddress, journalLink.address(), position,
+            config = FleetSettings.config(timetable, index, listenAddress, journalLink.address(), position,
                     JournalStandIn.event(position, true, known));
             usesSecondJournalLink = false;
             if (shim != null) {
@@ -212,7 +212,7 @@
     public static RunSummary play(Path file, long seed) throws Exception {
         Timetable timetable = Timetable.read(file);
         Rig.require(timetable.fronts() <= MAX_FRONTS
-                && timetable.entries().stream().noneMatch(e -> e.what().isScaleOnly()),
+                && timetable.entries().stream().noneMatch(e -> e.type().isScaleOnly()),
                 file + " can be played by bench/scale only");
         return play(timetable, seed, Path.of("."), RunChecker.Tolerances.LOADED_MACHINE);
     }
@@ -263,13 +263,13 @@
         for (Entry entry : timetable.entries()) {
             affectedFronts.put(entry, timetable.frontsOf(entry, seed));
             affectedEngines.put(entry, timetable.enginesOf(entry, seed));
-            scheduler.schedule(recordingFailure(() -> beginEntry(entry)), entry.at() / 10,
+            scheduler.schedule(recordingFailure(() -> beginEntry(entry)), entry.startTicks() / 10,
                     TimeUnit.MILLISECONDS);
-            scheduler.schedule(recordingFailure(() -> endEntry(entry)), entry.until() / 10,
+            scheduler.schedule(recordingFailure(() -> endEntry(entry)), entry.endTicks() / 10,
                     TimeUnit.MILLISECONDS);
         }
         scheduleQueries();
-        Thread.sleep((timetable.length() + timetable.settle()) / 10);
+        Thread.sleep((timetable.lengthTicks() + timetable.settleTicks()) / 10);
         stepScheduler.shutdownNow();
         stepScheduler.awaitTermination(5, TimeUnit.SECONDS);
         scheduler.shutdownNow();
@@ -349,12 +349,12 @@
     /** Draws the times of all queries and schedules them. */
     private void scheduleQueries() {
         long sendTicks = 0;
-        while (sendTicks < timetable.length()) {
+        while (sendTicks < timetable.lengthTicks()) {
             long currentTicks = sendTicks;
             double rate = timetable.queriesPerSecond() * timetable.entries().stream()
-                    .filter(e -> e.what() == What.BURST
-                    && currentTicks >= e.at() && currentTicks < e.until()).mapToDouble(Entry::times).max()
-                    .orElse(1);
+                    .filter(e -> e.type() == EntryType.BURST
+                    && currentTicks >= e.startTicks() && currentTicks < e.endTicks())
+                    .mapToDouble(Entry::times).max().orElse(1);
             sendTicks += Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * 10_000 / rate));
             scheduler.schedule(recordingFailure(() -> clients.sendNewQuery()), sendTicks * 100,
                     TimeUnit.MICROSECONDS);
@@ -365,15 +365,16 @@
         FaultProxy.LinkCondition condition = FaultProxy.LinkCondition.UNIMPAIRED;
         long elapsedTicks = (System.nanoTime() - startedAt) / 100_000;
         for (Entry e : timetable.entries()) {
-            if (e.what().affectsLinks() && e.link() == kind && affectedFronts.containsKey(e)
-                    && elapsedTicks >= e.at() - 5
-                    && elapsedTicks < e.until() - 5 && affectedFronts.get(e).contains(front)
+            if (e.type().affectsLinks() && e.link() == kind && affectedFronts.containsKey(e)
+                    && elapsedTicks >= e.startTicks() - 5
+                    && elapsedTicks < e.endTicks() - 5 && affectedFronts.get(e).contains(front)
                     && (kind != Link.ENGINE || affectedEngines.get(e).contains(engine))) {
-                condition = new FaultProxy.LinkCondition(condition.cutTowardsTarget() || e.what() == What.CUT
-                        || e.what() == What.CUT_THERE,
-                        condition.cutTowardsClient() || e.what() == What.CUT || e.what() == What.CUT_BACK,
-                        condition.delayMs() + (e.what() == What.DELAY ? e.byTicks() / 10 : 0),
-                        e.what() == What.THROTTLE ? e.bytesPerSecond() : condition.bytesPerSecond());
+                condition = new FaultProxy.LinkCondition(condition.cutTowardsTarget()
+                        || e.type() == EntryType.CUT || e.type() == EntryType.CUT_THERE,
+                        condition.cutTowardsClient()
+                        || e.type() == EntryType.CUT || e.type() == EntryType.CUT_BACK,
+                        condition.delayMs() + (e.type() == EntryType.DELAY ? e.byTicks() / 10 : 0),
+                        e.type() == EntryType.THROTTLE ? e.bytesPerSecond() : condition.bytesPerSecond());
             }
         }
         return condition;
@@ -384,7 +385,7 @@
             Set<Integer> peers = entry.link() == Link.ENGINE ? affectedEngines.get(entry) : Set.of(0);
             for (int peer : peers) {
                 FaultProxy.ProxiedLink link = fronts.get(frontIndex).link(entry.link(), peer);
-                switch (entry.what()) {
+                switch (entry.type()) {
                     case REFUSE -> {
                         if (begins) {
                             link.refuseConnections();
@@ -395,7 +396,7 @@
                     }
                     case RESET, HALF_OPEN -> {
                         if (begins) {
-                            link.reset(entry.what() == What.HALF_OPEN);
+                            link.reset(entry.type() == EntryType.HALF_OPEN);
                         }
                     }
                     default -> link.condition(linkCondition(frontIndex, entry.link(), peer));
@@ -406,17 +407,17 @@
 
     private void beginEntry(Entry entry) throws Exception {
         checker.entryBegan(entry, affectedFronts.get(entry), affectedEngines.get(entry));
-        if (entry.what().affectsLinks()) {
+        if (entry.type().affectsLinks()) {
             applyLinkFault(entry, true);
             return;
         }
-        if (entry.what().affectsEngines()) {
+        if (entry.type().affectsEngines()) {
             setEngineFault(entry, true);
             return;
         }
         for (int frontIndex : affectedFronts.get(entry)) {
             Front front = fronts.get(frontIndex);
-            switch (entry.what()) {
+            switch (entry.type()) {
                 case KILL -> {
                     checker.killed(frontIndex);
                     front.clientLink.refuseConnections();
@@ -435,11 +436,11 @@
                     checker.paused(frontIndex);
                     front.signal("-STOP");
                 }
-                case SIGNALS -> sendSignalSeries(front, entry.span() / 10);
+                case SIGNALS -> sendSignalSeries(front, entry.spanTicks() / 10);
                 case RELOAD -> {
                     for (int k = 0; k < entry.times(); k++) {
                         scheduler.schedule(recordingFailure(front::reload),
-                                (long) (entry.span() / 10 * k / entry.times()), TimeUnit.MILLISECONDS);
+                                (long) (entry.spanTicks() / 10 * k / entry.times()), TimeUnit.MILLISECONDS);
                     }
                 }
                 default -> setFrontOrClientFault(entry, front, true);
@@ -468,7 +469,7 @@
 
     /** Turns faults of system calls or a behaviour of faulty clients on or off. */
     private void setFrontOrClientFault(Entry entry, Front front, boolean on) {
-        switch (entry.what()) {
+        switch (entry.type()) {
             case ACCEPT_FAILS -> front.shim.set(Fault.ACCEPT_EVERY, on ? (long) entry.times() : 0);
             case CONNECT_FAILS -> {
                 front.shim.set(Fault.CONNECT_EVERY, on ? (long) entry.times() : 0);
@@ -484,7 +485,7 @@
             case NO_THREADS -> front.shim.set(Fault.THREADS_FROM, on ? 1 : 0);
             case START_FAILS -> front.failStarts = on;
             case GIVE_UP, SLOW_CLIENTS, BAD_CLIENTS, PIPELINE, IDLE_CROWD, COPIED_TRACES -> {
-                clients.setBehaviour(entry.what(), on);
+                clients.setBehaviour(entry.type(), on);
                 if (on) {
                     frontsWithFaultyClients.add(front.index);
                 }
@@ -496,26 +497,26 @@
     }
 
     private void endEntry(Entry entry) throws Exception {
-        if (entry.what().affectsLinks()) {
+        if (entry.type().affectsLinks()) {
             applyLinkFault(entry, false);
             return;
         }
-        if (entry.what().affectsEngines()) {
+        if (entry.type().affectsEngines()) {
             setEngineFault(entry, false);
             return;
         }
         for (int frontIndex : affectedFronts.get(entry)) {
             Front front = fronts.get(frontIndex);
-            switch (entry.what()) {
+            switch (entry.type()) {
                 case KILL, LEAVE -> {
-                    if (entry.what() == What.LEAVE) {
+                    if (entry.type() == EntryType.LEAVE) {
                         checker.recordShutdown(frontIndex, !front.program.process.isAlive());
                     }
                     checker.killed(frontIndex);
                     front.program.close();
                     front.start();
                     clients.setDraining(frontIndex, false);
-                    if (entry.what() == What.LEAVE) {
+                    if (entry.type() == EntryType.LEAVE) {
                         checker.startedAfterShutdown(frontIndex);
                     } else {
                         checker.frontRestarted(frontIndex);
@@ -534,7 +535,7 @@
         int replaced = 0;
         for (int engineIndex : affectedEngines.get(entry)) {
             EngineSlot slot = engineSlots.get(engineIndex);
-            switch (entry.what()) {
+            switch (entry.type()) {
                 case FAIL -> slot.engine.failing(on);
                 case SLOW -> slot.engine.setSlowdown(on ? entry.times() : 1);
                 case SILENT -> slot.engine.silent(on);
@@ -555,7 +556,7 @@
                 default -> {
                     if (on) {
                         scheduler.schedule(recordingFailure(() -> replaceEngine(engineIndex)),
-                                entry.span() / 10 * replaced++
+                                entry.spanTicks() / 10 * replaced++
                                 / Math.max(1, affectedEngines.get(entry).size()), TimeUnit.MILLISECONDS);
                     }
                 }
@@ -586,7 +587,8 @@
         for (Front front : fronts) {
             long lagMs = 0;
             for (Entry e : timetable.entries()) {
-                lagMs += e.what() == What.LATE_LIST && elapsedTicks >= e.at() && elapsedTicks < e.until()
+                lagMs += e.type() == EntryType.LATE_LIST
+                        && elapsedTicks >= e.startTicks() && elapsedTicks < e.endTicks()
                         && affectedFronts.get(e).contains(front.index)
                         ? e.byTicks() * ((front.index * 7 + engine.index * 3) % 8) / 80 : 0;
             }
--- a/src/rig/java/reedspring/rig/fleet/Terms.java
+++ b/src/rig/java/reedspring/rig/fleet/FleetSettings.java
@@ -8,7 +8,7 @@
 import reedspring.boot.BootException;
 
 /** The settings of a fleet's fronts, for front processes and for simulated decisions in virtual time. */
-public final class Terms {
+public final class FleetSettings {
     public static final String[] GROUPS = {"lookup", "report", "change"};
     /** The index of the group of mutating queries, which must not run twice. */
     static final int MUTATING_GROUP = 2;
@@ -23,9 +23,9 @@
     static final int MAX_SUBMISSIONS = 3;
     static final int MAX_RETRY_AFTER_MS = 500;
     static final int CONNECT_TIMEOUT_MS = 250;
-    public static final int DRAIN_MS = 500;
+    public static final int DRAIN_GRACE_MS = 500;
 
-    private Terms() {
+    private FleetSettings() {
     }
 
     /** The settings by path, in the simulator's naming; a front accepts the same paths in a flat object. */
@@ -45,7 +45,7 @@
             settings.put(prefix + "name", GROUPS[k]);
             settings.put(prefix + "aimMs", Integer.toString(TARGET_RUNTIME_MS[k]));
             settings.put(prefix + "aimStretch", Double.toString(TARGET_RUNTIME_STRETCH[k]));
-            settings.put(prefix + "deadlineMs", Integer.toString(leavesMs(timetable, k)));
+            settings.put(prefix + "deadlineMs", Integer.toString(patienceMs(timetable, k)));
             settings.put(prefix + "effect", k == MUTATING_GROUP ? "once" : "repeatable");
             settings.put(prefix + "group", "all");
             settings.put(prefix + "points", Integer.toString(VALUE_PER_GROUP[k]));
@@ -82,7 +82,7 @@
     }
 
     /** How long a client waits for its query, counted from its first request. */
-    public static int leavesMs(Timetable timetable, int group) {
+    public static int patienceMs(Timetable timetable, int group) {
         return timetable.patienceFactor() * TARGET_RUNTIME_MS[group];
     }
 
--- a/src/rig/java/reedspring/rig/fleet/Fleets.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleets.java
@@ -90,7 +90,7 @@
     private static String formatFigures(VirtualFleet fleet) {
         return String.format(Locale.ROOT,
                 "served=%.3f busiest=%.2f idlest=%.2f most_threads=%.1f backs=%d %s",
-                fleet.served(), fleet.busiestRatio(), fleet.idlestRatio(), fleet.mostThreads(),
+                fleet.served(), fleet.busiestRatio(), fleet.idlestRatio(), fleet.maxThreadsPerCore(),
                 fleet.peakRetries(), fleet.counts());
     }
 }
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -23,7 +23,7 @@
 import reedspring.rig.fleet.Timetable.Entry;
 import reedspring.rig.fleet.Timetable.Link;
 import reedspring.rig.fleet.Timetable.Mix;
-import reedspring.rig.fleet.Timetable.What;
+import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * Mutation tests of the soak's checks, started by bench/mutants: builds the program with one deliberate fault
@@ -68,47 +68,50 @@
                 6 * TICKS_PER_SECOND, 70, mix, 0, 1, 200, 3, 1, List.of(entries));
     }
 
-    private static Entry entry(What type, double atSeconds, double seconds, double times) {
+    private static Entry entry(EntryType type, double atSeconds, double seconds, double times) {
         return new Entry(type.name(), (long) (atSeconds * TICKS_PER_SECOND),
                 (long) (seconds * TICKS_PER_SECOND), type, Link.ENGINE, "all", "60%",
                 3_600 * TICKS_PER_SECOND, times, 1 << 20);
     }
 
     static List<Mutant> all() {
-        Entry stop = entry(What.STOP, 3, 1, 1);
+        Entry stop = entry(EntryType.STOP, 3, 1, 1);
         return List.of(
                 new Mutant("accept-pause", "net/AcceptGuard.java", "        failed = true;\n",
                         "        ctx.fireExceptionCaught(cause);\n        if (cause != null) {\n"
                                 + "            return;\n        }\n        failed = true;\n",
-                        timetable("accept-pause", entry(What.ACCEPT_FAILS, 1, 6, 2),
-                                entry(What.PIPELINE, 1, 6, 1), entry(What.BAD_CLIENTS, 1, 6, 1),
-                                entry(What.GIVE_UP, 1, 6, 1)),
+                        timetable("accept-pause", entry(EntryType.ACCEPT_FAILS, 1, 6, 2),
+                                entry(EntryType.PIPELINE, 1, 6, 1), entry(EntryType.BAD_CLIENTS, 1, 6, 1),
+                                entry(EntryType.GIVE_UP, 1, 6, 1)),
                                 "past its deadline|no answer|engine timeout of"),
                 new Mutant("arrival-is-now", "net/ClientConnection.java", "socketReads.earliestArrival()",
                         "front.clock().now()", timetable("arrival-is-now", stop), "engine timeout of"),
                 new Mutant("no-look-for-closes", "net/Front.java", "s.over || s.query.client.there();",
-                        "s.over || s != null;", timetable("no-look-for-closes", entry(What.GIVE_UP, 1, 6, 1),
-                                stop, entry(What.BAD_CLIENTS, 1, 6, 1)), "after its client had left"),
+                        "s.over || s != null;", timetable("no-look-for-closes",
+                                entry(EntryType.GIVE_UP, 1, 6, 1), stop,
+                                entry(EntryType.BAD_CLIENTS, 1, 6, 1)),
+                        "after its client had left"),
                 new Mutant("drains-unheard", List.of(
                         new Change("Control.java", "            if (!up[row] || group.zones()",
                                 "            if (engines.get(row).gone || group.zones()"),
                         new Change("net/Engines.java",
                                 "pool.up = host.listing().health() == Event.Health.UP;",
                                 "pool.up = host.listing().health() != Event.Health.GONE;")),
-                        timetable("drains-unheard", entry(What.DRAIN, 2, 4, 1)), "after the drain notice"),
+                        timetable("drains-unheard", entry(EntryType.DRAIN, 2, 4, 1)),
+                        "after the drain notice"),
                 new Mutant("repeats-anything", "core/policy/RepeatPolicy.java",
                         "return !mayHaveRun || group.effect() != Effect.MUTATING;",
                         "return group != null || mayHaveRun;", timetable("repeats-anything",
-                                entry(What.RESET, 3, 1, 1), entry(What.FAIL, 2, 3, 1)),
+                                entry(EntryType.RESET, 3, 1, 1), entry(EntryType.FAIL, 2, 3, 1)),
                                         "a mutating query ran"),
                 new Mutant("defers-anything", "core/policy/RepeatPolicy.java",
                         "return !mayHaveRun || group.effect() == Effect.READ_ONLY",
                         "return group != null || group.effect() == Effect.READ_ONLY",
                         timetable("defers-anything",
-                                entry(What.FAIL, 2, 4, 1)), "may have run was deferred"),
+                                entry(EntryType.FAIL, 2, 4, 1)), "may have run was deferred"),
                 new Mutant("ends-unanswered", "net/ClientConnection.java",
                         "        List.copyOf(openQueries.values()).forEach(front::answerBeforeClose);\n", "",
-                        timetable("ends-unanswered", entry(What.BAD_CLIENTS, 1, 6, 1)),
+                        timetable("ends-unanswered", entry(EntryType.BAD_CLIENTS, 1, 6, 1)),
                         "lost without an answer"),
                 new Mutant("cold-unheeded", "spread/Spread.java",
                         "Deployment.ColdStart rule = deployment.coldStart();\n        if (now - createdAt",
@@ -123,7 +126,7 @@
                         coldEngineTimetable("wall-clock-believed"), "cold engine overloaded"),
                 new Mutant("answers-late", "net/Front.java", "arrivedAt + Times.nearest(patience)),",
                         "arrivedAt + Times.nearest(patience) + 20_000),", timetable("answers-late",
-                                entry(What.SILENT, 2, 4, 1)), "past its deadline|engine timeout of"),
+                                entry(EntryType.SILENT, 2, 4, 1)), "past its deadline|engine timeout of"),
                 new Mutant("answers-twice", "net/Front.java",
                         "            q.client.sendRows(q, List.of(s.pages));\n",
                         "            q.client.sendRows(q, List.of(s.pages));\n"
@@ -137,12 +140,12 @@
                 new Mutant("leaves-at-once", "net/Front.java",
                         "        new Shutdown(this, limits, roster, now).begin(onAllAnswered);\n",
                         "        onAllAnswered.run();\n", timetable("leaves-at-once",
-                                entry(What.LEAVE, 2, 3.7, 1), entry(What.SLOW, 1, 6, 4)),
+                                entry(EntryType.LEAVE, 2, 3.7, 1), entry(EntryType.SLOW, 1, 6, 4)),
                                         "lost without an answer"),
                 new Mutant("traces-forgotten", "core/policy/RecentIds.java",
                         "return current.contains(id) || previous.contains(id);",
                         "return id == 0 && current.contains(id);",
-                        timetable("traces-forgotten", entry(What.COPIED_TRACES, 1, 6, 1)),
+                        timetable("traces-forgotten", entry(EntryType.COPIED_TRACES, 1, 6, 1)),
                         "received what no client had sent"),
                 new Mutant("command-torn", "net/WholeCommandEncoder.java", "            whole = true;\n",
                         "            joined.writerIndex(joined.writerIndex() - command.hashCode() % 2);\n"
@@ -152,12 +155,13 @@
                         "        requested = true;\n        notifyAll();\n",
                         "        requested = true;\n        java.util.concurrent.locks.LockSupport.parkNanos("
                                 + "800_000_000L);\n        notifyAll();\n",
-                        timetable("signals-wait", entry(What.SIGNALS, 1, 6, 1), entry(What.LEAVE, 2, 3.7, 1)),
+                        timetable("signals-wait", entry(EntryType.SIGNALS, 1, 6, 1),
+                                entry(EntryType.LEAVE, 2, 3.7, 1)),
                         "had not exited"),
                 new Mutant("thread-for-each-signal", "net/ProcessSignals.java",
                         "            table.set(null, ", "            table.get(table); Object none = (",
-                        timetable("thread-for-each-signal", entry(What.NO_THREADS, 1, 6, 1),
-                                entry(What.LEAVE, 2, 3.7, 1)), "had not exited"),
+                        timetable("thread-for-each-signal", entry(EntryType.NO_THREADS, 1, 6, 1),
+                                entry(EntryType.LEAVE, 2, 3.7, 1)), "had not exited"),
                 new Mutant("selector-once", "net/Startup.java", "new StartAttempts(30, RETRY_DELAY_MS)",
                         "new StartAttempts(1, RETRY_DELAY_MS)", restartTimetable("selector-once"),
                         DID_NOT_START),
@@ -175,15 +179,15 @@
 
     /** Kills and restarts fronts while system calls fail at their starts. */
     private static Timetable restartTimetable(String name) {
-        return timetable(name, entry(What.START_FAILS, 0, 8, 1), entry(What.KILL, 1, 0.2, 1));
+        return timetable(name, entry(EntryType.START_FAILS, 0, 8, 1), entry(EntryType.KILL, 1, 0.2, 1));
     }
 
     private static Timetable coldEngineTimetable(String name) {
         Mix mix = new Mix(8, 6, new double[] {80, 300, 60}, new double[] {60, 200, 60});
         Timetable withoutEntries = new Timetable("mutant " + name, 4, 3, 1, new double[] {4}, 65_536,
                 9 * TICKS_PER_SECOND, 6 * TICKS_PER_SECOND, 130, mix, 0, 1, 2_000, 3, 1, List.of());
-        return withoutEntries.withEntries("mutant " + name, List.of(entry(What.CLOCK_FORWARD, 1, 8, 1),
-                entry(What.REPLACE, 2, 2, 1)));
+        return withoutEntries.withEntries("mutant " + name, List.of(entry(EntryType.CLOCK_FORWARD, 1, 8, 1),
+                entry(EntryType.REPLACE, 2, 2, 1)));
     }
 
     /** Builds the mutant into a directory from which the program can be started. */
--- a/src/rig/java/reedspring/rig/fleet/RunChecker.java
+++ b/src/rig/java/reedspring/rig/fleet/RunChecker.java
@@ -12,7 +12,7 @@
 import reedspring.rig.Rig;
 import reedspring.rig.fleet.Timetable.Entry;
 import reedspring.rig.fleet.Timetable.Link;
-import reedspring.rig.fleet.Timetable.What;
+import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * Checks a run from outside: by what clients sent and received, what engines received and when, and what
@@ -112,19 +112,20 @@
     /** Records the span in which an entry affects the fronts' links, or excuses their shutdown. */
     synchronized void entryBegan(Entry entry, Set<Integer> fronts, Set<Integer> engines) {
         long now = System.nanoTime();
-        long endsAt = now + entry.span() * 100_000 + 50 * NS_PER_MS;
+        long endsAt = now + entry.spanTicks() * 100_000 + 50 * NS_PER_MS;
         for (int front : fronts) {
-            if (entry.what().affectsLinks() && entry.link() == Link.CLIENT) {
+            if (entry.type().affectsLinks() && entry.link() == Link.CLIENT) {
                 excusedSpans.add(new Span(front, now - 50 * NS_PER_MS, endsAt));
                 clientLinkFaults.add(new Span(front, now - 50 * NS_PER_MS, endsAt
                         + entry.byTicks() * 200_000));
-            } else if (entry.what().affectsLinks() && entry.link() == Link.JOURNAL) {
+            } else if (entry.type().affectsLinks() && entry.link() == Link.JOURNAL) {
                 journalLinkFaults.add(new Span(front, now - 50 * NS_PER_MS, endsAt + 1_000 * NS_PER_MS));
-            } else if (entry.what().affectsLinks()) {
+            } else if (entry.type().affectsLinks()) {
                 // What a front wrote to a slow or cut link reaches the engine later.
                 engineLinkFaults.add(new Span(front, now - 50 * NS_PER_MS, endsAt
-                        + (entry.what() == What.DELAY ? entry.byTicks() * 200_000 : 0) + 100 * NS_PER_MS));
-            } else if (entry.what() == What.LEAVE && tolerances.shutdownExcused()) {
+                        + (entry.type() == EntryType.DELAY ? entry.byTicks() * 200_000 : 0)
+                        + 100 * NS_PER_MS));
+            } else if (entry.type() == EntryType.LEAVE && tolerances.shutdownExcused()) {
                 excusedSpans.add(new Span(front, now, endsAt));
             }
         }
@@ -193,7 +194,7 @@
                     .forEach(submission -> checkClient(request, submission));
         }
         int excused = checkAnswers(requests, byTrace);
-        requests.stream().filter(request -> request.query.group() == Terms.MUTATING_GROUP)
+        requests.stream().filter(request -> request.query.group() == FleetSettings.MUTATING_GROUP)
                 .forEach(request -> checkMutatingQuery(request,
                 byTrace.getOrDefault(request.trace, List.of())));
         byTrace.forEach(this::checkSubmissions);
@@ -211,7 +212,7 @@
         for (SimulatedEngine.Submission submission : submissions) {
             SimulatedClients.Request request = requestsByTrace.get(submission.trace);
             require(request != null && request.statement.equals(submission.statement)
-                    && Terms.GROUPS[request.query.group()].equals(submission.group), submission,
+                    && FleetSettings.GROUPS[request.query.group()].equals(submission.group), submission,
                     "an engine received what no client had sent: " + submission.group + " "
                     + submission.statement + ", where "
                             + (request == null ? "no request has this trace" : request.describe(startedAt)));
@@ -233,7 +234,7 @@
             require(!request.responses.contains("served") || byTrace.containsKey(request.trace), request,
                     "served by no engine");
             long dueAt = request.patienceMs > 0 ? request.sentAt + request.patienceMs * NS_PER_MS
-                    : request.query.firstSentAt() + Terms.leavesMs(timetable, request.query.group())
+                    : request.query.firstSentAt() + FleetSettings.patienceMs(timetable, request.query.group())
                     * NS_PER_MS;
             long toleranceNs = (tolerances.answerMs() + rigStallMs) * NS_PER_MS;
             long latest = dueAt + toleranceNs;
@@ -290,7 +291,7 @@
 
     /** A query has a limited number of submissions, never two at once. */
     private void checkSubmissions(String trace, List<SimulatedEngine.Submission> submissions) {
-        require(submissions.size() <= Terms.MAX_SUBMISSIONS, submissions.get(0), "submission "
+        require(submissions.size() <= FleetSettings.MAX_SUBMISSIONS, submissions.get(0), "submission "
                 + submissions.size() + " of a query");
         List<SimulatedEngine.Submission> ordered = submissions.stream()
                 .sorted(Comparator.comparingLong(a -> a.receivedAt)).toList();
@@ -309,7 +310,8 @@
         for (DrainSpan span : drainSpans.getOrDefault(submission.front + "/" + submission.engine,
                 List.of())) {
             long toldAt = span.announcedAt;
-            long latest = toldAt + (Terms.DRAIN_MS + tolerances.drainMs() + rigStallMs) * NS_PER_MS;
+            long latest = toldAt
+                    + (FleetSettings.DRAIN_GRACE_MS + tolerances.drainMs() + rigStallMs) * NS_PER_MS;
             if (journalLinkFaults.stream()
                     .anyMatch(s -> s.overlaps(submission.front, toldAt, submission.receivedAt))) {
                 latest = toldAt + JOURNAL_KNOWN_AFTER_NS + (tolerances.drainMs() + rigStallMs) * NS_PER_MS;
@@ -334,19 +336,19 @@
     private double checkColdEngine(SimulatedEngine engine, List<SimulatedEngine.Submission> submissions) {
         double maxLoad = 0;
         double meanWorkTicks = 10 * timetable.mix().meanWorkMs();
-        long rampEnds = engine.startedAt + Terms.COLD_RAMP_MS * NS_PER_MS;
+        long rampEnds = engine.startedAt + FleetSettings.COLD_RAMP_MS * NS_PER_MS;
         List<SimulatedEngine.Submission> toColdEngine = engine.startedAtMs == 0 ? List.of()
                 : submissions.stream()
                 .filter(a -> a.engine.equals(engine.name) && a.receivedAt < rampEnds)
                 .sorted(Comparator.comparingLong(a -> a.receivedAt)).toList();
-        long window = Terms.COLD_WINDOW_MS * NS_PER_MS;
+        long window = FleetSettings.COLD_WINDOW_MS * NS_PER_MS;
         for (SimulatedEngine.Submission firstInWindow : toColdEngine) {
             long windowStart = firstInWindow.receivedAt;
-            double warmRatio = Terms.COLD_CAPACITY_RATIO
-                    + (1 - Terms.COLD_CAPACITY_RATIO) * Math.max(0, windowStart - engine.startedAt)
-                    / (Terms.COLD_RAMP_MS * NS_PER_MS);
+            double warmRatio = FleetSettings.COLD_CAPACITY_RATIO
+                    + (1 - FleetSettings.COLD_CAPACITY_RATIO) * Math.max(0, windowStart - engine.startedAt)
+                    / (FleetSettings.COLD_RAMP_MS * NS_PER_MS);
             double toleratedQueries = timetable.coldOverloadMultiple() * warmRatio
-                    * timetable.cores(engine.index) * Terms.COLD_WINDOW_MS * 10
+                    * timetable.cores(engine.index) * FleetSettings.COLD_WINDOW_MS * 10
                     / meanWorkTicks;
             double overloadLimit = toleratedQueries + 2 * Math.sqrt(toleratedQueries) + 2;
             List<SimulatedEngine.Submission> inWindow = toColdEngine.stream()
@@ -402,14 +404,15 @@
         double offered = 0;
         double served = 0;
         for (SimulatedClients.Request request : requests) {
-            int value = Terms.VALUE_PER_GROUP[request.query.group()];
+            int value = FleetSettings.VALUE_PER_GROUP[request.query.group()];
             if (request.number == 1) {
                 queries++;
                 offered += value;
             }
             if (request.responses.contains("served")) {
                 boolean onTime = request.respondedAt - request.query.firstSentAt()
-                        <= Terms.targetRuntimeTicks(request.query.group(), request.query.workMs()) * 100_000;
+                        <= FleetSettings.targetRuntimeTicks(request.query.group(), request.query.workMs())
+                        * 100_000;
                 served += onTime ? value : 0;
                 inTime += onTime ? 1 : 0;
                 late += onTime ? 0 : 1;
@@ -425,8 +428,8 @@
 
     private void require(boolean holds, SimulatedClients.Request request, String breach) {
         if (!holds) {
-            fail(breach + ": " + Terms.GROUPS[request.query.group()] + " " + request.trace + " to front "
-                    + request.front + ", request " + request.number, request.sentAt);
+            fail(breach + ": " + FleetSettings.GROUPS[request.query.group()] + " " + request.trace
+                    + " to front " + request.front + ", request " + request.number, request.sentAt);
         }
     }
 
--- a/src/rig/java/reedspring/rig/fleet/SimulatedClients.java
+++ b/src/rig/java/reedspring/rig/fleet/SimulatedClients.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import reedspring.rig.Client;
 import reedspring.rig.Rig;
-import reedspring.rig.fleet.Timetable.What;
+import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * Simulated clients that send seeded queries at seeded times. Each front receives its share of the queries,
@@ -109,7 +109,7 @@
     /** Fronts that are being shut down: the load balancer opens no new connection to them. */
     private final Set<Integer> drainingFronts = ConcurrentHashMap.newKeySet();
     /** Client behaviours that are active now, beside the ordinary queries. */
-    private final Set<What> activeBehaviours = ConcurrentHashMap.newKeySet();
+    private final Set<EntryType> activeBehaviours = ConcurrentHashMap.newKeySet();
 
     /** One connection to a front through the fault proxy. */
     private final class Connection {
@@ -140,7 +140,8 @@
                 int id = ++lastId;
                 pending.put((long) id, request);
                 write(client, request, id);
-                if (activeBehaviours.contains(What.GIVE_UP) && request.sent && draw() < ABANDON_PROBABILITY) {
+                if (activeBehaviours.contains(EntryType.GIVE_UP) && request.sent
+                        && draw() < ABANDON_PROBABILITY) {
                     Client usedClient = client;
                     Map<Long, Request> pendingNow = pending;
                     long delayMs = (long) (draw() * MAX_ABANDON_DELAY_MS);
@@ -157,7 +158,8 @@
         }
 
         private void write(Client target, Request request, int id) throws IOException {
-            boolean slowly = activeBehaviours.contains(What.SLOW_CLIENTS) && draw() * SLOW_WRITE_ONE_IN < 1;
+            boolean slowly = activeBehaviours.contains(EntryType.SLOW_CLIENTS)
+                    && draw() * SLOW_WRITE_ONE_IN < 1;
             request.patienceMs = remainingPatienceMs(request);
             byte[] query = encode(request, id);
             if (slowly) {
@@ -256,10 +258,10 @@
         if (request.statement.isEmpty()) {
             request.statement = String.format(Locale.ROOT,
                     "select work=%.2f need=%.1f threads=%d from sales_%d.orders",
-                    request.query.workMs, request.query.needMb, Terms.THREADS_PER_QUERY[request.query.group],
-                    id % 9);
+                    request.query.workMs, request.query.needMb,
+                    FleetSettings.THREADS_PER_QUERY[request.query.group], id % 9);
         }
-        return Client.pack(List.of(0, id, Terms.GROUPS[request.query.group], List.of(fields,
+        return Client.pack(List.of(0, id, FleetSettings.GROUPS[request.query.group], List.of(fields,
                 request.statement.getBytes(StandardCharsets.UTF_8))));
     }
 
@@ -276,7 +278,7 @@
     }
 
     /** Turns a behaviour of faulty clients on or off. */
-    void setBehaviour(What behaviour, boolean on) {
+    void setBehaviour(EntryType behaviour, boolean on) {
         if (on) {
             activeBehaviours.add(behaviour);
         } else {
@@ -298,17 +300,17 @@
         if (drainingFronts.contains(front)) {
             return;
         }
-        if (activeBehaviours.contains(What.BAD_CLIENTS)) {
+        if (activeBehaviours.contains(EntryType.BAD_CLIENTS)) {
             double kind = draw();
             sendExecutor.execute(() -> sendMalformed(front, kind));
         }
-        if (activeBehaviours.contains(What.COPIED_TRACES)) {
+        if (activeBehaviours.contains(EntryType.COPIED_TRACES)) {
             sendExecutor.execute(() -> sendCopiedTrace(front));
         }
-        if (activeBehaviours.contains(What.IDLE_CROWD)) {
+        if (activeBehaviours.contains(EntryType.IDLE_CROWD)) {
             sendExecutor.execute(() -> openIdleConnections(front));
         }
-        if (activeBehaviours.contains(What.PIPELINE) && draw() < 0.1) {
+        if (activeBehaviours.contains(EntryType.PIPELINE) && draw() < 0.1) {
             sendExecutor.execute(() -> sendPipelined(front, false));
         }
     }
@@ -348,7 +350,7 @@
         try (Client client = new Client(addresses[front])) {
             Map<String, Object> fields = Client.fields(copied.trace, remainingPatienceMs(copied));
             String statement = "select work=1.00 need=1.0 threads=1 from copied_1.orders";
-            client.send(Client.pack(List.of(0, 1, Terms.GROUPS[0], List.of(fields,
+            client.send(Client.pack(List.of(0, 1, FleetSettings.GROUPS[0], List.of(fields,
                     statement.getBytes(StandardCharsets.UTF_8)))));
             client.read();
         } catch (IOException | RuntimeException e) {
@@ -440,7 +442,7 @@
     }
 
     private int remainingPatienceMs(Request request) {
-        return (int) Math.max(1, Terms.leavesMs(timetable, request.query.group)
+        return (int) Math.max(1, FleetSettings.patienceMs(timetable, request.query.group)
                 - (System.nanoTime() - request.query.firstSentAt) / NS_PER_MS);
     }
 
--- a/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
+++ b/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
@@ -115,8 +115,8 @@
         this.startedAtMs = startedAtMs;
         this.startedAt = System.nanoTime() - (System.currentTimeMillis() - startedAtMs) * 1_000_000;
         this.model = new EngineModel(timetable.cores(index), timetable.memoryMb(), timetable.sessions(),
-                nowTicks(), Terms.COLD_CAPACITY_RATIO,
-                startedAtMs == 0 ? 0 : Terms.COLD_RAMP_MS * 10L);
+                nowTicks(), FleetSettings.COLD_CAPACITY_RATIO,
+                startedAtMs == 0 ? 0 : FleetSettings.COLD_RAMP_MS * 10L);
         this.random = new SplittableRandom(name.hashCode());
         this.server = new EngineStandIn(0, this::onCommand, this::onConnectionClosed);
         server.maxConnections = MAX_CONNECTIONS;
@@ -244,10 +244,10 @@
             }
         }
         if (now >= nextProgressAt) {
-            nextProgressAt = now + Terms.PROGRESS_INTERVAL_MS * 10L / 4;
+            nextProgressAt = now + FleetSettings.PROGRESS_INTERVAL_MS * 10L / 4;
             for (EngineModel.Execution execution : model.executions()) {
                 Submission submission = (Submission) execution.owner;
-                long quarter = (now - execution.startedAt) / (Terms.PROGRESS_INTERVAL_MS * 10L / 4);
+                long quarter = (now - execution.startedAt) / (FleetSettings.PROGRESS_INTERVAL_MS * 10L / 4);
                 if (submission.endedAt == 0 && !silent && !hanging && quarter % 4 == 0 && quarter > 0) {
                     submission.command.answer("news", String.format(Locale.ROOT, "why=done,val=%.3f",
                             execution.doneShare()), "");
--- a/src/rig/java/reedspring/rig/fleet/Soak.java
+++ b/src/rig/java/reedspring/rig/fleet/Soak.java
@@ -12,7 +12,7 @@
 import reedspring.rig.fleet.Timetable.Entry;
 import reedspring.rig.fleet.Timetable.Link;
 import reedspring.rig.fleet.Timetable.Mix;
-import reedspring.rig.fleet.Timetable.What;
+import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * A randomized fault test: front processes run under a timetable drawn from the seed, with several
@@ -58,7 +58,7 @@
                 List.of());
         List<Entry> drawnEntries = new ArrayList<>();
         int count = 4 + random.nextInt(5);
-        List<What> types = List.of(DRAWN_TYPES);
+        List<EntryType> types = List.of(DRAWN_TYPES);
         for (int k = 0; k < count; k++) {
             drawnEntries.add(drawEntry(k, types.get(random.nextInt(types.size())), random,
                     withoutEntries.shutdownTicks()));
@@ -66,16 +66,18 @@
         return withoutEntries.withEntries("soak " + seed, withoutRepeats(drawnEntries));
     }
 
-    private static final What[] DRAWN_TYPES = {What.REFUSE, What.CUT, What.RESET, What.HALF_OPEN, What.DELAY,
-        What.KILL, What.STOP, What.LEAVE, What.FAIL, What.SLOW, What.SILENT, What.HANG, What.FORGET,
-        What.COPIES, What.SPOIL, What.DRAIN, What.REPLACE, What.ACCEPT_FAILS, What.CONNECT_FAILS,
-        What.INTERRUPTS,
-        What.CLOCK_FORWARD, What.CLOCK_BACK, What.RELOAD, What.GIVE_UP, What.SLOW_CLIENTS, What.BAD_CLIENTS,
-        What.PIPELINE, What.BURST, What.STOP, What.LEAVE, What.LEAVE, What.DRAIN, What.REPLACE,
-        What.START_FAILS, What.START_FAILS, What.SIGNALS, What.SIGNALS, What.NO_THREADS,
-        What.IDLE_CROWD, What.COPIED_TRACES, What.COPIED_TRACES};
+    private static final EntryType[] DRAWN_TYPES = {
+        EntryType.REFUSE, EntryType.CUT, EntryType.RESET, EntryType.HALF_OPEN, EntryType.DELAY,
+        EntryType.KILL, EntryType.STOP, EntryType.LEAVE, EntryType.FAIL, EntryType.SLOW, EntryType.SILENT,
+        EntryType.HANG, EntryType.FORGET, EntryType.COPIES, EntryType.SPOIL, EntryType.DRAIN,
+        EntryType.REPLACE, EntryType.ACCEPT_FAILS, EntryType.CONNECT_FAILS, EntryType.INTERRUPTS,
+        EntryType.CLOCK_FORWARD, EntryType.CLOCK_BACK, EntryType.RELOAD, EntryType.GIVE_UP,
+        EntryType.SLOW_CLIENTS, EntryType.BAD_CLIENTS, EntryType.PIPELINE, EntryType.BURST, EntryType.STOP,
+        EntryType.LEAVE, EntryType.LEAVE, EntryType.DRAIN, EntryType.REPLACE, EntryType.START_FAILS,
+        EntryType.START_FAILS, EntryType.SIGNALS, EntryType.SIGNALS, EntryType.NO_THREADS,
+        EntryType.IDLE_CROWD, EntryType.COPIED_TRACES, EntryType.COPIED_TRACES};
 
-    private static Entry drawEntry(int number, What type, SplittableRandom random, long shutdownTicks) {
+    private static Entry drawEntry(int number, EntryType type, SplittableRandom random, long shutdownTicks) {
         // Most faults overlap in the middle of the run.
         long at = TICKS_PER_SECOND + random.nextLong(5 * TICKS_PER_SECOND);
         long span = TICKS_PER_SECOND + random.nextLong(4 * TICKS_PER_SECOND);
@@ -101,7 +103,7 @@
                 // values as drawn above
             }
         }
-        if (type == What.KILL || type == What.LEAVE) {
+        if (type == EntryType.KILL || type == EntryType.LEAVE) {
             fronts = (15 + random.nextInt(30)) + "%";
         }
         return new Entry("trouble " + number + " " + type, at, span, type, link, fronts, engines, byTicks,
@@ -114,9 +116,9 @@
     private static List<Entry> withoutRepeats(List<Entry> entries) {
         List<Entry> kept = new ArrayList<>();
         for (Entry entry : entries) {
-            boolean endsFront = entry.what() == What.KILL || entry.what() == What.LEAVE;
-            boolean repeats = kept.stream().anyMatch(e -> e.what() == entry.what()
-                    || endsFront && (e.what() == What.KILL || e.what() == What.LEAVE));
+            boolean endsFront = entry.type() == EntryType.KILL || entry.type() == EntryType.LEAVE;
+            boolean repeats = kept.stream().anyMatch(e -> e.type() == entry.type()
+                    || endsFront && (e.type() == EntryType.KILL || e.type() == EntryType.LEAVE));
             if (!repeats) {
                 kept.add(entry);
             }
@@ -128,10 +130,10 @@
     static String describe(Timetable timetable) {
         return timetable.fronts() + " fronts, " + timetable.engines() + " engines: "
                 + timetable.entries().stream()
-                .sorted((a, b) -> Long.compare(a.at(), b.at()))
-                .map(e -> String.format(Locale.ROOT, "%s %.1f to %.1f s%s", e.what(),
-                        e.at() / (double) TICKS_PER_SECOND,
-                        e.until() / (double) TICKS_PER_SECOND, e.what().affectsLinks() ? " of " + e.link()
+                .sorted((a, b) -> Long.compare(a.startTicks(), b.startTicks()))
+                .map(e -> String.format(Locale.ROOT, "%s %.1f to %.1f s%s", e.type(),
+                        e.startTicks() / (double) TICKS_PER_SECOND,
+                        e.endTicks() / (double) TICKS_PER_SECOND, e.type().affectsLinks() ? " of " + e.link()
                         : ""))
                 .collect(Collectors.joining("; "));
     }
--- a/src/rig/java/reedspring/rig/fleet/Timetable.java
+++ b/src/rig/java/reedspring/rig/fleet/Timetable.java
@@ -16,17 +16,17 @@
  * from the run's seed, so the file and the seed determine a run.
  */
 public record Timetable(String name, int fronts, int engines, int sites, double[] cores, double memoryMb,
-                        long length, long settle, double queriesPerSecond, Mix mix, int busyFronts,
+                        long lengthTicks, long settleTicks, double queriesPerSecond, Mix mix, int busyFronts,
                         double busyFactor, int sessions, int patienceFactor, double coldOverloadMultiple,
                         List<Entry> entries) {
     /**
      * The mix of queries: one in {@code longOneIn} is long, one in {@code changeOneIn} is mutating (0: none).
-     * Work and memory need are means of log-normal distributions, indexed as {@link Terms#GROUPS}.
+     * Work and memory need are means of log-normal distributions, indexed as {@link FleetSettings#GROUPS}.
      */
     public record Mix(int longOneIn, int changeOneIn, double[] workMs, double[] needMb) {
         public int group(SplittableRandom random) {
             if (changeOneIn > 0 && random.nextInt(changeOneIn) == 0) {
-                return Terms.MUTATING_GROUP;
+                return FleetSettings.MUTATING_GROUP;
             }
             return random.nextInt(longOneIn) == 0 ? 1 : 0;
         }
@@ -48,7 +48,7 @@
     public enum Link { CLIENT, ENGINE, JOURNAL }
 
     /** The types of entries. Their order matters: the methods below classify them by ordinal. */
-    public enum What {
+    public enum EntryType {
         /** New connections are refused and open ones reset. */
         REFUSE,
         /** Nothing passes in either direction and connects hang; buffered bytes pass afterwards. */
@@ -165,17 +165,17 @@
     }
 
     /**
-     * One scheduled entry, from {@code at} on for {@code span} ticks.
+     * One scheduled entry, from {@code startTicks} on for {@code spanTicks}.
      *
      * @param fronts selects the affected fronts
      * @param engines selects the affected engines
      * @param byTicks a delay, a lag or a clock offset, in ticks
      * @param times a factor or a count, by the type
      */
-    public record Entry(String title, long at, long span, What what, Link link, String fronts, String engines,
-                        long byTicks, double times, long bytesPerSecond) {
-        public long until() {
-            return at + span;
+    public record Entry(String title, long startTicks, long spanTicks, EntryType type, Link link,
+                        String fronts, String engines, long byTicks, double times, long bytesPerSecond) {
+        public long endTicks() {
+            return startTicks + spanTicks;
         }
     }
 
@@ -236,8 +236,8 @@
 
     private static Entry readEntry(Ini ini, String section) {
         ini.has(section);
-        List<String> typeKeys = IntStream.range(0, What.values().length)
-                .mapToObj(k -> keyOf(What.values()[k])).toList();
+        List<String> typeKeys = IntStream.range(0, EntryType.values().length)
+                .mapToObj(k -> keyOf(EntryType.values()[k])).toList();
         String typeKey = ini.word(section, "what", null, typeKeys);
         if (typeKey == null) {
             ini.fault(section, "what", "missing");
@@ -245,13 +245,13 @@
         String link = ini.word(section, "link", "engine", List.of("client", "engine", "journal"));
         return new Entry(section, ini.span(section, "at", 0, 0, 600 * TICKS_PER_SECOND),
                 ini.span(section, "for", 0, 0, 600 * TICKS_PER_SECOND),
-                What.values()[Math.max(0, typeKeys.indexOf(typeKey))], Link.valueOf(link.toUpperCase()),
+                EntryType.values()[Math.max(0, typeKeys.indexOf(typeKey))], Link.valueOf(link.toUpperCase()),
                 ini.any(section, "fronts", "all"), ini.any(section, "engines", "all"),
                 ini.span(section, "by", 0, 0, 60 * TICKS_PER_SECOND),
                 readFactor(ini, section), ini.size(section, "rate", 1 << 20, 1, 1L << 40));
     }
 
-    private static String keyOf(What type) {
+    private static String keyOf(EntryType type) {
         return type.name().toLowerCase().replace('_', '-');
     }
 
@@ -280,7 +280,7 @@
 
     /** A copy of this timetable with another name and other entries. */
     Timetable withEntries(String otherName, List<Entry> otherEntries) {
-        return new Timetable(otherName, fronts, engines, sites, cores, memoryMb, length, settle,
+        return new Timetable(otherName, fronts, engines, sites, cores, memoryMb, lengthTicks, settleTicks,
                 queriesPerSecond, mix,
                 busyFronts, busyFactor, sessions, patienceFactor, coldOverloadMultiple,
                 List.copyOf(otherEntries));
@@ -289,8 +289,8 @@
     /** The ticks from SIGTERM to SIGKILL at least: the longest patience, at most 3 s, and 0.7 s more. */
     long shutdownTicks() {
         long longestMs = 0;
-        for (int group = 0; group < Terms.GROUPS.length; group++) {
-            longestMs = Math.max(longestMs, Terms.leavesMs(this, group));
+        for (int group = 0; group < FleetSettings.GROUPS.length; group++) {
+            longestMs = Math.max(longestMs, FleetSettings.patienceMs(this, group));
         }
         return (Math.min(longestMs, MAX_SHUTDOWN_PATIENCE_MS) + KILL_MARGIN_MS) * 10;
     }
@@ -306,9 +306,10 @@
 
     /** A copy for other numbers of fronts and engines, with the load scaled to the number of engines. */
     public Timetable sized(int otherFronts, int otherEngines) {
-        return new Timetable(name, otherFronts, otherEngines, sites, cores, memoryMb, length, settle,
-                queriesPerSecond * otherEngines / engines, mix, busyFronts * otherFronts / fronts, busyFactor,
-                sessions, patienceFactor, coldOverloadMultiple, entries);
+        return new Timetable(name, otherFronts, otherEngines, sites, cores, memoryMb, lengthTicks,
+                settleTicks, queriesPerSecond * otherEngines / engines, mix,
+                busyFronts * otherFronts / fronts, busyFactor, sessions, patienceFactor,
+                coldOverloadMultiple, entries);
     }
 
     /** The front's share of all queries. */
--- a/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
+++ b/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
@@ -21,7 +21,7 @@
 import reedspring.api.Load;
 import reedspring.rig.Rig;
 import reedspring.rig.fleet.Timetable.Entry;
-import reedspring.rig.fleet.Timetable.What;
+import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * Plays a timetable in virtual time on the decisions of up to hundreds of fronts and on modelled engines. The
@@ -112,24 +112,25 @@
             id = "e" + index + "." + startCount++;
             startedAt = startTicks;
             model = new EngineModel(timetable.cores(index), timetable.memoryMb(), timetable.sessions(),
-                    startTicks, Terms.COLD_CAPACITY_RATIO,
-                    startTicks == 0 ? 0 : Terms.COLD_RAMP_MS * TICKS_PER_MS);
+                    startTicks, FleetSettings.COLD_CAPACITY_RATIO,
+                    startTicks == 0 ? 0 : FleetSettings.COLD_RAMP_MS * TICKS_PER_MS);
             health = Health.UP;
             coldWork.clear();
         }
 
         private Event.Listing listing() {
-            return new Event.Listing(new Id.Engine(id), new Id.Kind(Terms.kind(timetable.cores(index))),
+            return new Event.Listing(new Id.Engine(id),
+                    new Id.Kind(FleetSettings.kind(timetable.cores(index))),
                     new Id.Zone(String.valueOf(timetable.site(index))), new Id.Cell(0), health, startedAt);
         }
 
         /** Checks that a cold engine's load in the window is tolerable, with an allowance for variation. */
         private void checkColdArrival(double workTicks, double meanWork) {
-            if (startedAt <= 0 || now - startedAt >= Terms.COLD_RAMP_MS * TICKS_PER_MS) {
+            if (startedAt <= 0 || now - startedAt >= FleetSettings.COLD_RAMP_MS * TICKS_PER_MS) {
                 return;
             }
             coldArrivals++;
-            long window = Terms.COLD_WINDOW_MS * TICKS_PER_MS;
+            long window = FleetSettings.COLD_WINDOW_MS * TICKS_PER_MS;
             coldWork.removeIf(arrival -> arrival[0] <= now - window);
             coldWork.add(new long[] {now, Math.round(workTicks)});
             double toleratedQueries = timetable.coldOverloadMultiple() * model.capacityCores(now) * window
@@ -146,7 +147,7 @@
             threadsSum += model.threads();
             for (EngineModel.Execution execution : ended) {
                 Submission submission = (Submission) execution.owner;
-                if (activeEntry(What.SILENT, index) == null) {
+                if (activeEntry(EntryType.SILENT, index) == null) {
                     submission.front.returnOutcome(submission, Outcome.FINISHED, execution.workTicks);
                 }
             }
@@ -154,7 +155,7 @@
             for (EngineModel.Execution execution : List.copyOf(model.executions())) {
                 if (now - execution.startedAt >= STEP_TICKS
                         && (now - execution.startedAt) % progressInterval < STEP_TICKS
-                        && activeEntry(What.SILENT, index) == null) {
+                        && activeEntry(EntryType.SILENT, index) == null) {
                     ((Submission) execution.owner).front.returnProgress((Submission) execution.owner,
                             execution.doneShare());
                 }
@@ -268,7 +269,7 @@
         }
 
         private void scheduleRetry(ClientRequest request, long retryAt) {
-            if (request.number < Terms.MAX_SUBMISSIONS && retryAt < deadline(request)) {
+            if (request.number < FleetSettings.MAX_SUBMISSIONS && retryAt < deadline(request)) {
                 retriesPerBin[(int) Math.min(retriesPerBin.length - 1,
                         (retryAt - START_TICKS) / RETRY_BIN_TICKS)]++;
                 schedule(retryAt, () ->
@@ -287,24 +288,25 @@
             Engine engine = engines.stream().filter(e -> submit.engine().address().equals(e.id)).findAny()
                     .orElse(null);
             long offSince = unavailableSince.getOrDefault(submit.engine(), Long.MAX_VALUE);
-            require(offSince > now - Terms.DRAIN_MS * TICKS_PER_MS, "a submission to "
+            require(offSince > now - FleetSettings.DRAIN_GRACE_MS * TICKS_PER_MS, "a submission to "
                     + submit.engine().address() + ", which is listed as unavailable");
             Submission submission = new Submission(this, submit.query(), number, engine, now);
             runningSubmissions.put(submit.query(), submission);
             Entry cut = engine == null ? null : activeCut(index, engine.index);
-            if (engine == null || engine.health == Health.GONE || cut != null && cut.what() == What.REFUSE) {
+            if (engine == null || engine.health == Health.GONE
+                    || cut != null && cut.type() == EntryType.REFUSE) {
                 schedule(now + TICKS_PER_MS, () -> returnOutcome(submission, Outcome.UNREACHABLE, 0));
-            } else if (cut != null && cut.what() != What.CUT_BACK) {
+            } else if (cut != null && cut.type() != EntryType.CUT_BACK) {
                 // An open connection accepts the command silently; once it is given up, connects time out.
                 if (now - lastHeardAt.getOrDefault(submit.engine(), 0L) > TICKS_PER_SECOND
-                        + Terms.CONNECT_TIMEOUT_MS * TICKS_PER_MS) {
-                    schedule(now + Terms.CONNECT_TIMEOUT_MS * TICKS_PER_MS,
+                        + FleetSettings.CONNECT_TIMEOUT_MS * TICKS_PER_MS) {
+                    schedule(now + FleetSettings.CONNECT_TIMEOUT_MS * TICKS_PER_MS,
                             () -> returnOutcome(submission, Outcome.UNREACHABLE, 0));
                 } else {
-                    schedule(cut.until(), () -> arriveAtEngine(submission, request));
+                    schedule(cut.endTicks(), () -> arriveAtEngine(submission, request));
                 }
             } else {
-                Entry delay = activeLinkFault(What.DELAY, index, engine.index);
+                Entry delay = activeLinkFault(EntryType.DELAY, index, engine.index);
                 schedule(now + TICKS_PER_MS / 2 + (delay == null ? 0 : delay.byTicks()),
                         () -> arriveAtEngine(submission, request));
             }
@@ -316,18 +318,19 @@
                 returnOutcome(submission, Outcome.UNREACHABLE, 0);
                 return;
             }
-            boolean fails = activeEntry(What.FAIL, engine.index) != null;
+            boolean fails = activeEntry(EntryType.FAIL, engine.index) != null;
             if (!fails) {
                 engine.checkColdArrival(request.workTicks, meanWorkTicks());
                 submission.execution = engine.model.start(submission, request.workTicks, request.needMb,
-                        Terms.THREADS_PER_QUERY[request.group], now);
+                        FleetSettings.THREADS_PER_QUERY[request.group], now);
                 if (submission.execution == null) {
                     returnOutcome(submission, Outcome.TURNED_AWAY, 0);
                     return;
                 }
             }
             // A submission of a front that has crashed meanwhile is not checked.
-            require(request.group != Terms.MUTATING_GROUP || submission.frontIncarnation != incarnation
+            require(request.group != FleetSettings.MUTATING_GROUP
+                    || submission.frontIncarnation != incarnation
                     || executedMutations.add(submission.query), "a mutating query ran twice");
             if (fails) {
                 returnOutcome(submission, Outcome.ERROR, 0);
@@ -337,13 +340,13 @@
         /** Sends the outcome of a submission back to the front, under the faults of the link. */
         private void returnOutcome(Submission submission, Outcome outcome, double workTicks) {
             Entry cut = submission.engine == null ? null : activeCut(index, submission.engine.index);
-            if (cut != null && cut.what() != What.CUT_THERE && cut.what() != What.REFUSE
+            if (cut != null && cut.type() != EntryType.CUT_THERE && cut.type() != EntryType.REFUSE
                     && outcome != Outcome.UNREACHABLE) {
-                schedule(cut.until(), () -> returnOutcome(submission, outcome, workTicks));
+                schedule(cut.endTicks(), () -> returnOutcome(submission, outcome, workTicks));
                 return;
             }
             Entry delay = submission.engine == null ? null
-                    : activeLinkFault(What.DELAY, index, submission.engine.index);
+                    : activeLinkFault(EntryType.DELAY, index, submission.engine.index);
             if (delay != null && outcome != Outcome.UNREACHABLE) {
                 schedule(now + delay.byTicks(), () ->
                         deliver(() -> endSubmission(submission, outcome, workTicks)));
@@ -354,7 +357,8 @@
 
         private void returnProgress(Submission submission, double share) {
             Entry cut = activeCut(index, submission.engine.index);
-            if (submission.frontIncarnation == incarnation && (cut == null || cut.what() == What.CUT_THERE)) {
+            if (submission.frontIncarnation == incarnation
+                    && (cut == null || cut.type() == EntryType.CUT_THERE)) {
                 deliver(() -> {
                     if (runningSubmissions.get(submission.query) == submission) {
                         lastHeardAt.put(new Id.Engine(submission.engine.id), now);
@@ -373,16 +377,17 @@
             ClientRequest request = openQueries.get(submission.query);
             if (outcome == Outcome.FINISHED && answered.add(submission.query)) {
                 boolean inTime = now - request.firstSentAt
-                        <= Terms.targetRuntimeTicks(request.group, request.workTicks / TICKS_PER_MS);
-                served[secondOf(request.firstSentAt)] += inTime ? Terms.VALUE_PER_GROUP[request.group] : 0;
+                        <= FleetSettings.targetRuntimeTicks(request.group, request.workTicks / TICKS_PER_MS);
+                served[secondOf(request.firstSentAt)] += inTime
+                        ? FleetSettings.VALUE_PER_GROUP[request.group] : 0;
                 count(inTime ? "in time" : "late");
             }
             boolean answeredByEngine = outcome == Outcome.FINISHED || outcome == Outcome.ERROR;
             if (answeredByEngine) {
                 lastHeardAt.put(new Id.Engine(submission.engine.id), now);
-                if (activeEntry(What.MUTE, submission.engine.index) == null) {
+                if (activeEntry(EntryType.MUTE, submission.engine.index) == null) {
                     handle(new Event.LoadReported(new Id.Engine(submission.engine.id),
-                            activeEntry(What.LIE, submission.engine.index) != null
+                            activeEntry(EntryType.LIE, submission.engine.index) != null
                                     ? new Load(0, 0, Double.NaN, 0, 0) : submission.engine.model.load()));
                 }
             }
@@ -449,10 +454,10 @@
     public VirtualFleet(Timetable timetable, long seed) {
         this.timetable = timetable;
         this.seed = seed;
-        this.deployment = Terms.deployment(timetable);
+        this.deployment = FleetSettings.deployment(timetable);
         this.random = new SplittableRandom(seed);
         this.now = START_TICKS;
-        int seconds = (int) ((timetable.length() + timetable.settle()) / TICKS_PER_SECOND) + 2;
+        int seconds = (int) ((timetable.lengthTicks() + timetable.settleTicks()) / TICKS_PER_SECOND) + 2;
         this.offered = new double[seconds];
         this.served = new double[seconds];
         this.pagingEngines = new double[seconds];
@@ -472,16 +477,16 @@
         for (Entry entry : timetable.entries()) {
             affectedFronts.put(entry, timetable.frontsOf(entry, seed));
             affectedEngines.put(entry, timetable.enginesOf(entry, seed));
-            schedule(START_TICKS + entry.at(), () -> beginEntry(entry));
-            schedule(START_TICKS + entry.until(), () -> endEntry(entry));
+            schedule(START_TICKS + entry.startTicks(), () -> beginEntry(entry));
+            schedule(START_TICKS + entry.endTicks(), () -> endEntry(entry));
         }
         double[] queryShares = IntStream.range(0, timetable.fronts()).mapToDouble(timetable::queryShare)
                 .toArray();
-        long end = START_TICKS + timetable.length() + timetable.settle();
+        long end = START_TICKS + timetable.lengthTicks() + timetable.settleTicks();
         while (now < end) {
             now += STEP_TICKS;
-            if (now < START_TICKS + timetable.length()) {
-                double rate = timetable.queriesPerSecond() * activeFactor(What.BURST, -1) * STEP_TICKS
+            if (now < START_TICKS + timetable.lengthTicks()) {
+                double rate = timetable.queriesPerSecond() * activeFactor(EntryType.BURST, -1) * STEP_TICKS
                         / TICKS_PER_SECOND;
                 for (int k = (int) rate + (random.nextDouble() < rate % 1 ? 1 : 0); k > 0; k--) {
                     sendNewQuery(queryShares);
@@ -506,7 +511,7 @@
         while (front < queryShares.length - 1 && (draw -= queryShares[front]) >= 0) {
             front++;
         }
-        offered[secondOf(now)] += Terms.VALUE_PER_GROUP[group];
+        offered[secondOf(now)] += FleetSettings.VALUE_PER_GROUP[group];
         count("asked");
         dispatch(new ClientRequest(group, TICKS_PER_MS * timetable.mix().workMs(group, random),
                 timetable.mix().needMb(group, random), now, 1), fronts.get(front));
@@ -532,23 +537,24 @@
         dueTasks.add(new DueTask(time, nextSequence++, task));
     }
 
-    private Entry activeEntry(What type, int engine) {
-        return timetable.entries().stream().filter(e -> e.what() == type && isActive(e)
+    private Entry activeEntry(EntryType type, int engine) {
+        return timetable.entries().stream().filter(e -> e.type() == type && isActive(e)
                 && affectedEngines.get(e).contains(engine)).findAny().orElse(null);
     }
 
     private boolean isActive(Entry e) {
-        return affectedEngines.containsKey(e) && now >= START_TICKS + e.at() && now < START_TICKS + e.until();
+        return affectedEngines.containsKey(e) && now >= START_TICKS + e.startTicks()
+                && now < START_TICKS + e.endTicks();
     }
 
-    private double activeFactor(What type, int engine) {
-        return timetable.entries().stream().filter(e -> e.what() == type && isActive(e)
+    private double activeFactor(EntryType type, int engine) {
+        return timetable.entries().stream().filter(e -> e.type() == type && isActive(e)
                 && (engine < 0 || affectedEngines.get(e).contains(engine))).mapToDouble(Entry::times).max()
                         .orElse(1);
     }
 
-    private Entry activeLinkFault(What type, int front, int engine) {
-        return timetable.entries().stream().filter(e -> e.what() == type && e.link() == Timetable.Link.ENGINE
+    private Entry activeLinkFault(EntryType type, int front, int engine) {
+        return timetable.entries().stream().filter(e -> e.type() == type && e.link() == Timetable.Link.ENGINE
                 && isActive(e)
                 && affectedFronts.get(e).contains(front) && affectedEngines.get(e).contains(engine)).findAny()
                         .orElse(null);
@@ -556,11 +562,12 @@
 
     /** The active fault that cuts the link between front and engine, with times on the fleet's clock. */
     private Entry activeCut(int front, int engine) {
-        for (What type : List.of(What.REFUSE, What.CUT, What.CUT_THERE, What.CUT_BACK)) {
+        for (EntryType type : List.of(EntryType.REFUSE, EntryType.CUT, EntryType.CUT_THERE,
+                EntryType.CUT_BACK)) {
             Entry entry = activeLinkFault(type, front, engine);
             if (entry != null) {
-                return new Entry(entry.title(), START_TICKS + entry.at(), entry.span(), type, entry.link(),
-                        "all", "all", 0, 1, 0);
+                return new Entry(entry.title(), START_TICKS + entry.startTicks(), entry.spanTicks(), type,
+                        entry.link(), "all", "all", 0, 1, 0);
             }
         }
         return null;
@@ -569,14 +576,14 @@
     private void beginEntry(Entry entry) {
         Set<Integer> frontIndexes = affectedFronts.get(entry);
         Set<Integer> engineIndexes = affectedEngines.get(entry);
-        switch (entry.what()) {
+        switch (entry.type()) {
             case KILL, LEAVE -> frontIndexes.forEach(k -> {
                 fronts.get(k).crash();
                 fronts.get(k).crashedAt = now;
             });
             case STOP -> frontIndexes.forEach(k -> {
                 fronts.get(k).pausedAt = now;
-                fronts.get(k).pausedUntil = START_TICKS + entry.until();
+                fronts.get(k).pausedUntil = START_TICKS + entry.endTicks();
             });
             case REFUSE, RESET, HALF_OPEN -> {
                 if (entry.link() == Timetable.Link.ENGINE) {
@@ -587,7 +594,7 @@
             case REPLACE -> {
                 int k = 0;
                 for (int e : engineIndexes) {
-                    schedule(now + entry.span() * k++ / Math.max(1, engineIndexes.size()),
+                    schedule(now + entry.spanTicks() * k++ / Math.max(1, engineIndexes.size()),
                             () -> replaceEngine(engines.get(e)));
                 }
             }
@@ -598,7 +605,7 @@
     }
 
     private void endEntry(Entry entry) {
-        switch (entry.what()) {
+        switch (entry.type()) {
             case KILL, LEAVE -> affectedFronts.get(entry).forEach(k -> fronts.get(k).start());
             case STOP -> affectedFronts.get(entry).forEach(k -> fronts.get(k).resume());
             case SLOW -> affectedEngines.get(entry).forEach(e -> engines.get(e).model.slowdown(1));
@@ -630,7 +637,7 @@
         for (Front front : fronts) {
             long lag = random.nextLong(LIST_DELAY_SPREAD_TICKS);
             for (Entry e : timetable.entries()) {
-                lag += e.what() == What.LATE_LIST && isActive(e)
+                lag += e.type() == EntryType.LATE_LIST && isActive(e)
                         && affectedFronts.get(e).contains(front.index)
                         ? random.nextLong(Math.max(1, e.byTicks())) : 0;
             }
@@ -651,7 +658,7 @@
     }
 
     private long deadline(ClientRequest request) {
-        return request.firstSentAt + TICKS_PER_MS * Terms.leavesMs(timetable, request.group);
+        return request.firstSentAt + TICKS_PER_MS * FleetSettings.patienceMs(timetable, request.group);
     }
 
     private void count(String event) {
@@ -672,7 +679,7 @@
     }
 
     public double served() {
-        return served(0, (int) (timetable.length() / TICKS_PER_SECOND));
+        return served(0, (int) (timetable.lengthTicks() / TICKS_PER_SECOND));
     }
 
     /** The mean number of engines with overcommitted memory over these seconds. */
@@ -703,7 +710,7 @@
     }
 
     /** The highest number of threads per core on any engine. */
-    public double mostThreads() {
+    public double maxThreadsPerCore() {
         return engines.stream().mapToDouble(e -> e.maxThreads / e.model.cores()).max().orElse(0);
     }
 
--- a/src/rig/java/reedspring/rig/scale/ChildMain.java
+++ b/src/rig/java/reedspring/rig/scale/ChildMain.java
@@ -45,7 +45,7 @@
 import reedspring.rig.Client;
 import reedspring.rig.EngineStandIn;
 import reedspring.rig.Program;
-import reedspring.rig.fleet.Terms;
+import reedspring.rig.fleet.FleetSettings;
 import reedspring.rig.fleet.Timetable;
 
 /**
@@ -187,9 +187,9 @@
         private void start(int front) {
             Function<SplittableRandom, HollowFront.GeneratedQuery> queryGenerator = random -> {
                 int group = timetable.mix().group(random);
-                return new HollowFront.GeneratedQuery(Terms.GROUPS[group],
+                return new HollowFront.GeneratedQuery(FleetSettings.GROUPS[group],
                         timetable.mix().workMs(group, random), timetable.mix().needMb(group, random),
-                        Terms.leavesMs(timetable, group));
+                        FleetSettings.patienceMs(timetable, group));
             };
             fronts.put(front, new HollowFront(loops.get(front % loops.size()),
                     configurationFile(directory, front, "a"), queriesPerSecond, queryGenerator));
@@ -420,13 +420,15 @@
                     int group = timetable.mix().group(random);
                     double workMs = timetable.mix().workMs(group, random);
                     String trace = String.format("%04x%012x", front, random.nextLong() & 0xffff_ffff_ffffL);
-                    Map<String, Object> fields = Client.fields(trace, Terms.leavesMs(timetable, group));
+                    Map<String, Object> fields = Client.fields(trace,
+                            FleetSettings.patienceMs(timetable, group));
                     fields.put("weight", String.format(Locale.ROOT, "%.2f", workMs));
                     sentRequests.incrementAndGet();
                     requestOpen = true;
                     String statement = String.format(Locale.ROOT, "select work=%.2f from sales_%d.orders",
                             workMs, requestId % 9);
-                    List<?> answer = client.send(Client.pack(List.of(0, (int) requestId, Terms.GROUPS[group],
+                    List<?> answer = client.send(Client.pack(List.of(0, (int) requestId,
+                            FleetSettings.GROUPS[group],
                             List.of(fields, statement.getBytes(StandardCharsets.US_ASCII))))).read();
                     String text = Client.rows(answer);
                     (text == null ? "Shed".equals(Client.error(answer)) ? refusals : errorAnswers
--- a/src/rig/java/reedspring/rig/scale/ScaleRun.java
+++ b/src/rig/java/reedspring/rig/scale/ScaleRun.java
@@ -24,7 +24,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import reedspring.rig.Program;
-import reedspring.rig.fleet.Terms;
+import reedspring.rig.fleet.FleetSettings;
 import reedspring.rig.fleet.Timetable;
 import reedspring.rig.fleet.Timetable.Entry;
 
@@ -131,7 +131,8 @@
         int generation = generations.getOrDefault(engine, 0);
         String address = ChildMain.engineAddress(secondOctet(), addressIndexes.get(engine)) + ":" + port();
         return new JournalService.Row("e" + engine + "-" + generation, address,
-                String.valueOf(timetable.site(engine)), Terms.kind(timetable.cores(engine)), health, 0);
+                String.valueOf(timetable.site(engine)),
+                FleetSettings.kind(timetable.cores(engine)), health, 0);
     }
 
     private void startAll() throws IOException {
@@ -192,7 +193,7 @@
         String known = front < size.realFronts() ? journal.known() : "";
         int position = front < size.realFronts() ? journal.lastEventNumber() : 0;
         for (int addressIndex = 0; addressIndex < JournalService.ADDRESSES_PER_WATCHER; addressIndex++) {
-            String text = Terms.config(timetable, front, size.realMb(), listenAddresses.get(front),
+            String text = FleetSettings.config(timetable, front, size.realMb(), listenAddresses.get(front),
                     journalAddresses.get(front).get(addressIndex), position, known);
             writeConfiguration(front, addressIndex == 0 ? "a" : "b", text);
             if (addressIndex == 1) {
@@ -216,7 +217,7 @@
         for (Entry entry : timetable.entries()) {
             scheduleEntry(entry);
         }
-        long end = (timetable.length() + timetable.settle()) * 100_000;
+        long end = (timetable.lengthTicks() + timetable.settleTicks()) * 100_000;
         while (System.nanoTime() - startNanos < end) {
             long dueTicks = (System.nanoTime() - startNanos) / 100_000;
             while (!steps.isEmpty() && steps.firstKey() <= dueTicks) {
@@ -240,16 +241,16 @@
     private void scheduleEntry(Entry entry) {
         Set<Integer> fronts = new TreeSet<>(timetable.frontsOf(entry, seed));
         Set<Integer> engines = new TreeSet<>(timetable.enginesOf(entry, seed));
-        switch (entry.what()) {
+        switch (entry.type()) {
             case CONFIGURE -> {
                 int count = (int) entry.times();
                 for (int index = 0; index < count; index++) {
                     boolean last = index == count - 1;
                     boolean first = index == 0;
                     // Checked one by one only if the changes are further apart than one may take.
-                    boolean checkEach = count > 1 && entry.span() / count >= 20_000;
+                    boolean checkEach = count > 1 && entry.spanTicks() / count >= 20_000;
                     int number = index + 1;
-                    schedule(entry.at() + entry.span() * index / count, () -> {
+                    schedule(entry.startTicks() + entry.spanTicks() * index / count, () -> {
                         configurationSuffix = configurationSuffix.equals("a") ? "b" : "a";
                         long now = System.nanoTime();
                         firstChangeNanos = first ? now : firstChangeNanos;
@@ -265,7 +266,7 @@
                     });
                 }
             }
-            case CONFIGURE_BAD -> schedule(entry.at(), () -> {
+            case CONFIGURE_BAD -> schedule(entry.startTicks(), () -> {
                 long now = System.nanoTime();
                 reloadAll("bad");
                 checkRejected(entry.title(), now);
@@ -273,55 +274,55 @@
             case PRIMARY -> {
                 int index = 0;
                 for (int engine : engines) {
-                    schedule(entry.at() + entry.span() * index++ / engines.size(),
+                    schedule(entry.startTicks() + entry.spanTicks() * index++ / engines.size(),
                             () -> replaceAtOnce(entry.title(), engine));
                 }
             }
             case REPLACE -> {
                 int index = 0;
                 for (int engine : engines) {
-                    schedule(entry.at() + entry.span() * index++ / engines.size(),
+                    schedule(entry.startTicks() + entry.spanTicks() * index++ / engines.size(),
                             () -> replaceAfterDrain(entry.title(), engine));
                 }
             }
             case LOSE -> {
-                schedule(entry.at(), () -> expectInForce(entry.title() + " gone",
+                schedule(entry.startTicks(), () -> expectInForce(entry.title() + " gone",
                         journal.publish(engines.stream()
                         .map(e -> row(e, "gone")).toList())));
-                schedule(entry.until(), () -> {
+                schedule(entry.endTicks(), () -> {
                     engines.forEach(e -> generations.merge(e, 1, Integer::sum));
                     expectInForce(entry.title() + " back", journal.publish(engines.stream()
                             .map(e -> row(e, "ready")).toList()));
                 });
             }
             case KILL -> {
-                schedule(entry.at(), () -> kill(entry.title(), fronts));
-                schedule(entry.until(), () -> revive(entry.title(), fronts));
+                schedule(entry.startTicks(), () -> kill(entry.title(), fronts));
+                schedule(entry.endTicks(), () -> revive(entry.title(), fronts));
             }
             case CUT -> {
-                schedule(entry.at(), () -> {
+                schedule(entry.startTicks(), () -> {
                     log(entry.title() + ": cutting the link of " + fronts.size() + " fronts to the journal");
                     journal.setLinkDown(fronts, true);
                     recordOutage(entry, fronts);
                 });
-                schedule(entry.until(), () -> journal.setLinkDown(fronts, false));
+                schedule(entry.endTicks(), () -> journal.setLinkDown(fronts, false));
             }
             case JOURNAL_AWAY -> {
-                schedule(entry.at(), () -> {
+                schedule(entry.startTicks(), () -> {
                     log(entry.title() + ": stopping the journal service");
                     journal.setUnavailable(true);
                     recordOutage(entry, liveFronts());
                 });
-                schedule(entry.until(), () -> endOutage(entry.title()));
+                schedule(entry.endTicks(), () -> endOutage(entry.title()));
             }
             default -> throw new IllegalStateException("[" + entry.title() + "] what: "
-                    + entry.what().name().toLowerCase(Locale.ROOT) + " is not supported by bench/scale");
+                    + entry.type().name().toLowerCase(Locale.ROOT) + " is not supported by bench/scale");
         }
     }
 
     private void recordOutage(Entry entry, Set<Integer> fronts) {
         long now = System.nanoTime();
-        outages.add(new Outage(now, now + entry.span() * 100_000, fronts));
+        outages.add(new Outage(now, now + entry.spanTicks() * 100_000, fronts));
     }
 
     private void reloadAll(String suffix) throws IOException {
@@ -460,7 +461,7 @@
                     boolean reachable = outages.stream().noneMatch(outage -> outage.fronts.contains(front)
                             && outage.fromNanos < publishedNanos + NANOS_PER_SECOND
                             && outage.toNanos > publishedNanos - NANOS_PER_SECOND);
-                    long limitNanos = checkTimes && reachable ? Terms.DRAIN_MS * NANOS_PER_MS
+                    long limitNanos = checkTimes && reachable ? FleetSettings.DRAIN_GRACE_MS * NANOS_PER_MS
                             : CHANGED_WITHIN_NANOS;
                     if (Long.parseLong(nanos) > publishedNanos + limitNanos + DRAIN_SLACK_NANOS) {
                         violations.add(title + ": front " + front + " sent to " + old.engine() + " "
--- a/src/test/java/reedspring/FleetTest.java
+++ b/src/test/java/reedspring/FleetTest.java
@@ -63,7 +63,8 @@
     void aHundredFrontsHandleAReturningEngineAndHalfReplaced() throws SettingsException {
         VirtualFleet fleet = play("return.ini", 100, 40, 5);
         assertTrue(fleet.served() > 0.8, "served: " + fleet.served() + " " + fleet.counts());
-        assertTrue(fleet.mostThreads() < 8, "threads per core on the fullest: " + fleet.mostThreads());
+        assertTrue(fleet.maxThreadsPerCore() < 8,
+                "threads per core on the fullest: " + fleet.maxThreadsPerCore());
     }
 
     /**
--- a/src/test/java/reedspring/rig/fleet/RunCheckerTest.java
+++ b/src/test/java/reedspring/rig/fleet/RunCheckerTest.java
@@ -41,7 +41,7 @@
             long afterMs, String outcome) {
         SimulatedEngine.Submission submission =
                 new SimulatedEngine.Submission(new EngineStandIn.Command(List.of("fetch", request.trace,
-                "lane=" + Terms.GROUPS[request.query.group()], STATEMENT), null,
+                "lane=" + FleetSettings.GROUPS[request.query.group()], STATEMENT), null,
                 System.nanoTime() + afterMs * NS_PER_MS), 0, engine, 1_000);
         if (outcome != null) {
             submission.finish(outcome);
@@ -105,7 +105,7 @@
         addSubmission(request, "e1", 200, "data");
         assertBreach("two submissions at once");
         submissions.clear();
-        for (int k = 0; k <= Terms.MAX_SUBMISSIONS; k++) {
+        for (int k = 0; k <= FleetSettings.MAX_SUBMISSIONS; k++) {
             addSubmission(request, "e" + k, k, "failed");
         }
         assertBreach("submission 4 of a query");
@@ -113,13 +113,13 @@
 
     @Example
     void aMutatingQueryThatRunsTwiceOrIsDeferredAfterItRanIsABreach() {
-        SimulatedClients.Request request = addRequest(Terms.MUTATING_GROUP, "served");
+        SimulatedClients.Request request = addRequest(FleetSettings.MUTATING_GROUP, "served");
         addSubmission(request, "e0", 0, "given up");
         addSubmission(request, "e1", 10, "data");
         assertBreach("a mutating query ran 2 times");
         submissions.clear();
         requests.clear();
-        addSubmission(addRequest(Terms.MUTATING_GROUP, "Shed"), "e0", 0, "failed");
+        addSubmission(addRequest(FleetSettings.MUTATING_GROUP, "Shed"), "e0", 0, "failed");
         assertBreach("a mutating query that may have run was deferred");
     }
 
