--- a/src/test/java/reedspring/net/ReloadsTest.java
+++ b/src/test/java/reedspring/net/ReloadsTest.java
@@ -76,12 +76,17 @@
     @Example
     void requestsDuringAReloadCauseOneMore() throws Exception {
         AtomicInteger reloadCount = new AtomicInteger();
+        CountDownLatch running = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         reloads.start();
         reloads.enable(() -> {
+            running.countDown();
             awaitRelease(release);
             return reloadCount.incrementAndGet() > 0;
         });
+        reloads.request();
+        // Requests before the first reload runs would be served by it, and none would be left for a second.
+        assertTrue(running.await(20, TimeUnit.SECONDS));
         for (int k = 0; k < SIGNALS; k++) {
             reloads.request();
         }
