--- a/src/rig/java/reedspring/rig/Keeps.java
+++ b/src/rig/java/reedspring/rig/Keeps.java
@@ -1,7 +1,7 @@
 package reedspring.rig;
 
-import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.JournalStandIn.engineRow;
+import static reedspring.rig.JournalStandIn.event;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/rig/java/reedspring/rig/fleet/Fleet.java
+++ b/src/rig/java/reedspring/rig/fleet/Fleet.java
@@ -25,8 +25,8 @@
 import reedspring.rig.Program;
 import reedspring.rig.Rig;
 import reedspring.rig.fleet.Timetable.Entry;
-import reedspring.rig.fleet.Timetable.Link;
 import reedspring.rig.fleet.Timetable.EntryType;
+import reedspring.rig.fleet.Timetable.Link;
 
 /**
  * Runs a timetable on front processes with simulated engines and clients and a journal stand-in for each
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -21,9 +21,9 @@
 import javax.tools.ToolProvider;
 import reedspring.rig.Rig;
 import reedspring.rig.fleet.Timetable.Entry;
+import reedspring.rig.fleet.Timetable.EntryType;
 import reedspring.rig.fleet.Timetable.Link;
 import reedspring.rig.fleet.Timetable.Mix;
-import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * Mutation tests of the soak's checks, started by bench/mutants: builds the program with one deliberate fault
--- a/src/rig/java/reedspring/rig/fleet/RunChecker.java
+++ b/src/rig/java/reedspring/rig/fleet/RunChecker.java
@@ -11,13 +11,13 @@
 import java.util.stream.Collectors;
 import reedspring.rig.Rig;
 import reedspring.rig.fleet.Timetable.Entry;
-import reedspring.rig.fleet.Timetable.Link;
 import reedspring.rig.fleet.Timetable.EntryType;
+import reedspring.rig.fleet.Timetable.Link;
 
 /**
- * Checks a run from outside: by what clients sent and received, what engines received and when, and what
- * each front had been told. The kill of a front and a fault on the client's link excuse the requests that
- * they hit, and nothing else. Times are nanoseconds of the monotonic clock.
+ * Checks a run from outside: by what clients sent and received, what engines received and when, and which
+ * events each front had been sent. The kill of a front and a fault on the client's link excuse the requests
+ * that they hit, and nothing else. Times are nanoseconds of the monotonic clock.
  */
 public final class RunChecker {
     private static final long NS_PER_MS = 1_000_000;
@@ -309,17 +309,18 @@
     private void checkDrain(SimulatedEngine.Submission submission) {
         for (DrainSpan span : drainSpans.getOrDefault(submission.front + "/" + submission.engine,
                 List.of())) {
-            long toldAt = span.announcedAt;
-            long latest = toldAt
+            long announcedAt = span.announcedAt;
+            long latest = announcedAt
                     + (FleetSettings.DRAIN_GRACE_MS + tolerances.drainMs() + rigStallMs) * NS_PER_MS;
             if (journalLinkFaults.stream()
-                    .anyMatch(s -> s.overlaps(submission.front, toldAt, submission.receivedAt))) {
-                latest = toldAt + JOURNAL_KNOWN_AFTER_NS + (tolerances.drainMs() + rigStallMs) * NS_PER_MS;
+                    .anyMatch(s -> s.overlaps(submission.front, announcedAt, submission.receivedAt))) {
+                latest = announcedAt + JOURNAL_KNOWN_AFTER_NS
+                        + (tolerances.drainMs() + rigStallMs) * NS_PER_MS;
             }
             boolean slowLink = engineLinkFaults.stream()
-                    .anyMatch(s -> s.overlaps(submission.front, toldAt, submission.receivedAt));
+                    .anyMatch(s -> s.overlaps(submission.front, announcedAt, submission.receivedAt));
             require(submission.receivedAt <= latest || submission.receivedAt >= span.endsAt || slowLink,
-                    submission, "submitted " + (submission.receivedAt - toldAt) / NS_PER_MS
+                    submission, "submitted " + (submission.receivedAt - announcedAt) / NS_PER_MS
                     + " ms after the drain notice for its engine");
         }
     }
--- a/src/rig/java/reedspring/rig/fleet/Soak.java
+++ b/src/rig/java/reedspring/rig/fleet/Soak.java
@@ -10,9 +10,9 @@
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
 import reedspring.rig.fleet.Timetable.Entry;
+import reedspring.rig.fleet.Timetable.EntryType;
 import reedspring.rig.fleet.Timetable.Link;
 import reedspring.rig.fleet.Timetable.Mix;
-import reedspring.rig.fleet.Timetable.EntryType;
 
 /**
  * A randomized fault test: front processes run under a timetable drawn from the seed, with several
--- a/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
+++ b/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
@@ -26,7 +26,8 @@
 /**
  * Plays a timetable in virtual time on the decisions of up to hundreds of fronts and on modelled engines. The
  * rules are checked at every action and after every step; a failure names the broken rule, the timetable and
- * the seed. Deferred clients retry as told. Times are in ticks (tenths of a millisecond).
+ * the seed. Deferred clients retry after the delay that they are given. Times are in ticks (tenths of a
+ * millisecond).
  */
 public final class VirtualFleet {
     private static final long TICKS_PER_MS = 10;
@@ -297,7 +298,7 @@
                     || cut != null && cut.type() == EntryType.REFUSE) {
                 schedule(now + TICKS_PER_MS, () -> returnOutcome(submission, Outcome.UNREACHABLE, 0));
             } else if (cut != null && cut.type() != EntryType.CUT_BACK) {
-                // An open connection accepts the command silently; once it is given up, connects time out.
+                // An open connection accepts commands silently; once the front drops it, dials time out.
                 if (now - lastHeardAt.getOrDefault(submit.engine(), 0L) > TICKS_PER_SECOND
                         + FleetSettings.CONNECT_TIMEOUT_MS * TICKS_PER_MS) {
                     schedule(now + FleetSettings.CONNECT_TIMEOUT_MS * TICKS_PER_MS,
--- a/src/rig/java/reedspring/rig/scale/Slopes.java
+++ b/src/rig/java/reedspring/rig/scale/Slopes.java
@@ -313,7 +313,7 @@
     }
 
     private void measureJournal() throws Exception {
-        JournalEventParser reading = new JournalEventParser();
+        JournalEventParser parser = new JournalEventParser();
         int maxEventBytes = JournalEventParser.maxEventBytes();
         fronts = 0;
         engines = 0;
@@ -326,7 +326,7 @@
         }
         byte[] smallEvent = ControlDriver.fullListEvent(ENGINE_COUNTS[2]);
         for (int k = 0; k < 300; k++) {
-            reading.read(smallEvent, Integer.MAX_VALUE);
+            parser.read(smallEvent, Integer.MAX_VALUE);
         }
         for (int size : new int[] {40, 400, 2_500, 6_000, 12_500, LARGEST_ENGINES}) {
             engines = size;
@@ -335,18 +335,18 @@
                 beginFigure("journal_event_cpu");
                 recordFigure("journal_event", "B", 0, 0, event.length);
                 recordFigure("journal_event_taken", "rows", 0, 0,
-                        Math.max(0, reading.read(event, maxEventBytes)));
+                        Math.max(0, parser.read(event, maxEventBytes)));
                 long allocatedBefore = THREADS.getThreadAllocatedBytes(Thread.currentThread().getId());
-                Rig.require(reading.read(event, Integer.MAX_VALUE) == size,
+                Rig.require(parser.read(event, Integer.MAX_VALUE) == size,
                         "not all rows of the event were read");
                 recordFigure("journal_event_allocated", "MB", 0, 0, (THREADS.getThreadAllocatedBytes(
                         Thread.currentThread().getId()) - allocatedBefore) / 1e6);
                 double heapWithEvent = heapMb();
-                reading.releaseParsed();
+                parser.releaseParsed();
                 recordFigure("journal_event_heap", "MB", 0, 0, heapWithEvent - heapMb());
                 recordFigure("journal_event_cpu", "ms", 0, 0, cpuNanosPerCall("journal_event_cpu", 2_000,
-                        () -> reading.read(event, Integer.MAX_VALUE)) / 1e6);
-                reading.read(smallEvent, Integer.MAX_VALUE);
+                        () -> parser.read(event, Integer.MAX_VALUE)) / 1e6);
+                parser.read(smallEvent, Integer.MAX_VALUE);
             }
         }
     }
--- a/src/test/java/reedspring/ControlTest.java
+++ b/src/test/java/reedspring/ControlTest.java
@@ -677,10 +677,11 @@
     /** A front on half a core attributed its own stalls to the engines and reduced its limit. */
     @Example
     void theFrontsOwnLagIsNotCountedAsSlowdown() {
-        int calm = sentAfter(0, 0);
-        assertEquals(calm, sentAfter(4_000, 4_000));
-        assertTrue(sentAfter(4_000, 0) < calm, "slow engines still count");
-        assertTrue(sentAfter(4_000, 1_000) < calm, "so does the part that the lag does not explain");
+        int sentWithoutStalls = sentAfter(0, 0);
+        assertEquals(sentWithoutStalls, sentAfter(4_000, 4_000));
+        assertTrue(sentAfter(4_000, 0) < sentWithoutStalls, "slow engines still count");
+        assertTrue(sentAfter(4_000, 1_000) < sentWithoutStalls,
+                "so does the part that the lag does not explain");
     }
 
     private static int sentAfter(long stall, long arrivalUncertainty) {
--- a/src/test/java/reedspring/net/CrossingsIT.java
+++ b/src/test/java/reedspring/net/CrossingsIT.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.JournalStandIn.engineRow;
+import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.Rig.await;
 
 import java.io.IOException;
@@ -131,7 +131,7 @@
         Thread.sleep(2_500);
         EngineStandIn.answerWithPages(1).accept(held.get(0));
         assertEquals(EngineStandIn.page(trace, 0), Client.rows(client.read()));
-        assertTrue(client.closedByFront(), "the unfinished message is given up");
+        assertTrue(client.closedByFront(), "the unfinished message ends the connection");
     }
 
     // ---- the journal
--- a/src/test/java/reedspring/net/FailingCallsIT.java
+++ b/src/test/java/reedspring/net/FailingCallsIT.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.JournalStandIn.engineRow;
+import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.Rig.await;
 
 import java.nio.file.Files;
@@ -127,7 +127,7 @@
             long remainingMs = PATIENCE - TimeUnit.NANOSECONDS.toMillis(sent.firstByteNanos() - began);
             long sentTtlMs = Long.parseLong(sent.words().get(2).replaceAll(".*ttl=([0-9]+).*", "$1"));
             assertTrue(sentTtlMs <= remainingMs + DEADLINE_TOLERANCE_MS,
-                    "told " + sentTtlMs + " ms, its client has " + remainingMs);
+                    "ttl sent: " + sentTtlMs + " ms, its client has " + remainingMs);
         }
         assertTrue(front.logged("registered anew"), front.log::toString);
     }
@@ -162,7 +162,7 @@
         assertTrue(grown <= MAX_MEMORY_GROWTH_KB, "memory grew by " + grown + " kB");
         serves();
         front.sendSignal("-TERM");
-        assertTrue(front.process.waitFor(SHUTDOWN_S, TimeUnit.SECONDS), "SIGTERM is not heard");
+        assertTrue(front.process.waitFor(SHUTDOWN_S, TimeUnit.SECONDS), "SIGTERM does not end the front");
         assertEquals(0, front.process.exitValue());
     }
 
@@ -174,7 +174,7 @@
         serves();
         shim.set(Fault.THREADS_FROM, 1);
         front.sendSignal("-TERM");
-        assertTrue(front.process.waitFor(SHUTDOWN_S, TimeUnit.SECONDS), "SIGTERM is not heard");
+        assertTrue(front.process.waitFor(SHUTDOWN_S, TimeUnit.SECONDS), "SIGTERM does not end the front");
         assertEquals(0, front.process.exitValue());
         assertTrue(front.logged("left"), front.log::toString);
     }
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.JournalStandIn.engineRow;
+import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.Rig.await;
 
 import io.netty.bootstrap.Bootstrap;
--- a/src/test/java/reedspring/net/ListSizeTest.java
+++ b/src/test/java/reedspring/net/ListSizeTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Example;
 import reedspring.rig.JournalStandIn;
 
-/** How many rows fit an engine list in one event; docs/CAPACITY.md tells what follows from that. */
+/** How many rows fit an engine list in one event; docs/CAPACITY.md describes what follows from that. */
 class ListSizeTest {
     private static byte[] event(int rows) {
         String[] hosts = IntStream.range(0, rows).mapToObj(k -> JournalStandIn.engineRow(
@@ -31,9 +31,9 @@
         for (int step = 1 << 16; step > 0; step >>= 1) {
             rows += dataLineLength(rows + step) <= maxEventBytes ? step : 0;
         }
-        JournalEventParser reading = new JournalEventParser();
-        assertEquals(rows, reading.read(event(rows), maxEventBytes));
-        assertEquals(-1, reading.read(event(rows + 1), maxEventBytes));
+        JournalEventParser parser = new JournalEventParser();
+        assertEquals(rows, parser.read(event(rows), maxEventBytes));
+        assertEquals(-1, parser.read(event(rows + 1), maxEventBytes));
     }
 
     @Example
--- a/src/test/java/reedspring/net/ListsIT.java
+++ b/src/test/java/reedspring/net/ListsIT.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.JournalStandIn.engineRow;
+import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.Rig.await;
 
 import java.io.IOException;
--- a/src/test/java/reedspring/net/SpoolIT.java
+++ b/src/test/java/reedspring/net/SpoolIT.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.JournalStandIn.engineRow;
+import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.Rig.await;
 
 import java.io.IOException;
--- a/src/test/java/reedspring/net/Started.java
+++ b/src/test/java/reedspring/net/Started.java
@@ -1,8 +1,8 @@
 package reedspring.net;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.rig.JournalStandIn.event;
 import static reedspring.rig.JournalStandIn.engineRow;
+import static reedspring.rig.JournalStandIn.event;
 
 import java.io.IOException;
 import java.util.ArrayList;
