--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -136,13 +136,13 @@
         this.createdAt = now;
         this.actionSink = actions;
         if (deployment.discovery().mustSubscribe()) {
-            actions.accept(new Action.FollowEngines());
+            actions.accept(new Action.SubscribeToEngines());
         }
-        actions.accept(new Action.WakeMe(PERIODIC_TIMER, spread.firstDelay(PERIOD_TICKS)));
+        actions.accept(new Action.StartTimer(PERIODIC_TIMER, spread.firstDelay(PERIOD_TICKS)));
     }
 
     /** Handles one event that arrived at the given time and emits the resulting actions. */
-    public void on(long time, Event event, Consumer<Action> actions) {
+    public void onEvent(long time, Event event, Consumer<Action> actions) {
         now = Math.max(now, time);
         actionSink = actions;
         if (event instanceof Event.EnginesListed enginesListed) {
@@ -228,7 +228,7 @@
     // ---- engines
 
     private void updateEngines(Event.EnginesListed list) {
-        if (list.kind() != Event.Reading.CHANGES) {
+        if (list.kind() != Event.ListKind.CHANGES) {
             Set<Id.Engine> listedIds = list.entries().stream().map(Event.Listing::engine)
                     .collect(Collectors.toSet());
             engines.stream().filter(engine -> !engine.gone && !listedIds.contains(engine.id))
@@ -353,7 +353,7 @@
             ownMemoryMb[row] += q.needMb;
             ownQueries[row]++;
             spread.submissionSent(row, scheduler.typicalWork[q.group] / scheduler.lightestWork());
-            if (deployment.allowed().priorities()
+            if (deployment.capabilities().priorities()
                     && q.work / q.threads < deployment.groups().get(q.group).targetBase() / 2.0) {
                 actionSink.accept(new Action.SetPriority(q.id, 2));
             }
@@ -365,7 +365,7 @@
             Outcome outcome = closed.outcome();
             ownQueries[row]--;
             spread.submissionEnded(row, closed.elapsed());
-            if (outcome == Outcome.TIMED_OUT && !deployment.allowed().cancel() && !q.writtenOff) {
+            if (outcome == Outcome.TIMED_OUT && !deployment.capabilities().cancel() && !q.writtenOff) {
                 double expectedTicks = q.work / q.threads
                         * Math.exp(Double.isNaN(engineLogSlowdown[row]) ? 0 : engineLogSlowdown[row]);
                 long remainingTicks = (long) Math.min(MAX_ABANDONED_RUN_TICKS,
@@ -436,7 +436,7 @@
                 return done;
             });
             if (!ejected[row] && now - lastHeardAt >= Math.max(MIN_SILENCE_TICKS,
-                    deployment.noteEvery() * 5 / 4)
+                    deployment.progressInterval() * 5 / 4)
                     && scheduler.queries.values().stream()
                             .filter(q -> q.runningOn == row && scheduler.isStalled(q)).count() > 1) {
                 eject("is silent");
@@ -795,7 +795,7 @@
          * recovers soon.
          */
         private double safeMemoryRatio() {
-            if (deployment.allowed().cancel()) {
+            if (deployment.capabilities().cancel()) {
                 return MAX_MEMORY_RATIO;
             }
             double relativeSize = meanNeedMb <= 0 ? 0
@@ -1039,7 +1039,7 @@
             if (q.answered) {
                 remove(q);
             } else if (outcome != Outcome.NOT_SENT && outcome != Outcome.NOT_KEPT
-                    && q.submissions < deployment.allowed().submissions()
+                    && q.submissions < deployment.capabilities().maxSubmissions()
                     && mayResubmit(q, false)
                     && now + expectedRuntime(q) < q.clientDeadline - ANSWER_MARGIN_TICKS) {
                 q.failedOn = q.lastSentTo;
@@ -1105,7 +1105,7 @@
             if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestDeparture(q)) {
                 return false;
             }
-            Deployment.Ration budget = deployment.resubmissionBudget();
+            Deployment.ResubmissionBudget budget = deployment.resubmissionBudget();
             if (budget == null) {
                 return true;
             }
@@ -1158,12 +1158,12 @@
 
         private boolean mayRestart(Query q) {
             return deployment.groups().get(q.group).effect() == Effect.READ_ONLY
-                    && q.submissions < deployment.allowed().submissions() && mayResubmit(q, false);
+                    && q.submissions < deployment.capabilities().maxSubmissions() && mayResubmit(q, false);
         }
 
         /** Whether it is far overdue without progress reports: its answer may be lost or its engine hung. */
         private boolean isStalled(Query q) {
-            return isFarOverdue(q) && now - q.progressAt > deployment.noteEvery() * 1.3;
+            return isFarOverdue(q) && now - q.progressAt > deployment.progressInterval() * 1.3;
         }
 
         private boolean isFarOverdue(Query q) {
@@ -1171,7 +1171,7 @@
         }
 
         private void cancel(Query q) {
-            if (deployment.allowed().cancel() && !q.cancelled && !q.streaming) {
+            if (deployment.capabilities().cancel() && !q.cancelled && !q.streaming) {
                 q.cancelled = true;
                 actionSink.accept(new Action.Cancel(q.id, new Id.Submission(q.submissions - 1)));
             }
@@ -1185,7 +1185,8 @@
         /** Sends the final answer for a query that will not be served. */
         private void giveUp(Query q) {
             // If an engine failed the query, rather than capacity being short, the client may retry at once.
-            long maxRetryAfter = deployment.allowed().comeBack() ? deployment.allowed().longestComeBack() : 0;
+            long maxRetryAfter = deployment.capabilities().retryTimes()
+                    ? deployment.capabilities().maxRetryAfter() : 0;
             long retryAfter = q.runningOn >= 0 ? Math.min(PERIOD_TICKS, maxRetryAfter)
                     : spread.retryAfter(maxRetryAfter);
             actionSink.accept(mayDefer(q, q.firstRanOn >= 0) ? new Action.Defer(q.id, retryAfter)
@@ -1230,10 +1231,10 @@
         }
 
         private void onPeriodicTimer() {
-            actionSink.accept(new Action.WakeMe(PERIODIC_TIMER, PERIOD_TICKS));
+            actionSink.accept(new Action.StartTimer(PERIODIC_TIMER, PERIOD_TICKS));
             if (discoveryRetryAt >= 0 && now >= discoveryRetryAt) {
                 discoveryRetryAt = -1;
-                actionSink.accept(new Action.FollowEngines());
+                actionSink.accept(new Action.SubscribeToEngines());
             }
             keyQueues.values().removeIf(keyQueue -> keyQueue.queries.isEmpty()
                     && now >= keyQueue.blockedUntil);
@@ -1273,7 +1274,7 @@
                     .mapToInt(q -> q.runningOn).distinct().count();
             for (Query q : new ArrayList<>(queries.values())) {
                 if (q.runningOn >= 0) {
-                    if (isFarOverdue(q) && !deployment.allowed().cancel()) {
+                    if (isFarOverdue(q) && !deployment.capabilities().cancel()) {
                         post(engines.get(q.runningOn),
                                 engine -> engine.ejectIfThrashing(q, enginesWithOverdue));
                         if (ejected[q.runningOn] && !q.answered && mayDefer(q, true)) {
@@ -1286,7 +1287,7 @@
                         observeSlowdown((now - q.sentAt) * q.threads, (now - q.sentAt) * q.threads, q.work,
                                 0.05);
                     }
-                    if (isStalled(q) && !q.answered && deployment.allowed().cancel() && mayRestart(q)) {
+                    if (isStalled(q) && !q.answered && deployment.capabilities().cancel() && mayRestart(q)) {
                         cancel(q);
                     } else if (isStalled(q) && !q.cancelled && !q.writtenOff) {
                         // No more progress reports: the query has ended and its answer is lost, or the engine
--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -117,7 +117,7 @@
     private void decide(int instance, Front front, Event event) {
         List<Action> actions = new ArrayList<>();
         try {
-            front.control.on(now, event, actions::add);
+            front.control.onEvent(now, event, actions::add);
             write(instance, actions);
         } catch (RuntimeException e) {
             reportFault(instance, e);
@@ -197,14 +197,14 @@
 
     private Event parseListed(Line line) throws WireException {
         String mode = line.text("mode");
-        Event.Reading reading;
+        Event.ListKind reading;
         switch (mode) {
             case "unavailable" -> {
                 return new Event.ListUnavailable();
             }
-            case "update" -> reading = Event.Reading.CHANGES;
-            case "replace" -> reading = Event.Reading.COMPLETE;
-            case "restored" -> reading = Event.Reading.REMEMBERED;
+            case "update" -> reading = Event.ListKind.CHANGES;
+            case "replace" -> reading = Event.ListKind.COMPLETE;
+            case "restored" -> reading = Event.ListKind.CACHED;
             default -> throw line.malformed("mode", "'" + mode + "' is not a list mode");
         }
         List<Event.Listing> entries = directories.get((int) line.integer("setId"));
@@ -269,13 +269,13 @@
                         .append(cancel.submission().value());
             } else if (action instanceof Action.Defer defer) {
                 beginCommand("DECLINE", instance, defer.query());
-                appendMs(" retryInMs=", defer.comeBack());
+                appendMs(" retryInMs=", defer.retryAfter());
             } else if (action instanceof Action.Kill kill) {
                 beginCommand("REPORT_FAILURE", instance, kill.query());
-            } else if (action instanceof Action.WakeMe wake) {
+            } else if (action instanceof Action.StartTimer wake) {
                 reply.append("WAKE_ME i=").append(instance).append(" handle=").append(wake.timer().value());
-                appendMs(" spanMs=", wake.span());
-            } else if (action instanceof Action.FollowEngines) {
+                appendMs(" spanMs=", wake.delay());
+            } else if (action instanceof Action.SubscribeToEngines) {
                 reply.append("FOLLOW i=").append(instance).append(" active=1");
             } else if (action instanceof Action.Remark remark) {
                 reply.append("REMARK i=").append(instance).append(" msg=")
--- a/src/main/java/reedspring/api/Action.java
+++ b/src/main/java/reedspring/api/Action.java
@@ -6,10 +6,10 @@
      * Sends a query to an engine.
      *
      * @param timeout 0 to wait until the client's deadline
-     * @param departBy the latest time at which it may be sent, whatever delays it; {@code Long.MAX_VALUE} if
-     *         only the timeout limits it
+     * @param latestSendAt the latest time at which it may be sent, whatever delays it; {@code Long.MAX_VALUE}
+     *         if only the timeout limits it
      */
-    record Submit(Id.Query query, Id.Engine engine, long timeout, long departBy) implements Action {
+    record Submit(Id.Query query, Id.Engine engine, long timeout, long latestSendAt) implements Action {
     }
 
     /** Sets the priority of the query's current and later submissions: 0 to 3, by default 1. */
@@ -19,8 +19,8 @@
     record Cancel(Id.Query query, Id.Submission submission) implements Action {
     }
 
-    /** A final answer: not served, a retry is safe after {@code comeBack}; 0 to name no time. */
-    record Defer(Id.Query query, long comeBack) implements Action {
+    /** A final answer: not served, a retry is safe after {@code retryAfter}; 0 to name no time. */
+    record Defer(Id.Query query, long retryAfter) implements Action {
     }
 
     /** A final answer: not served, and a retry may not be safe. */
@@ -28,11 +28,11 @@
     }
 
     /** Starts a timer that ends with {@link Event.Woken}. */
-    record WakeMe(Id.Timer timer, long span) implements Action {
+    record StartTimer(Id.Timer timer, long delay) implements Action {
     }
 
     /** Subscribes to the engine list of discovery. */
-    record FollowEngines() implements Action {
+    record SubscribeToEngines() implements Action {
     }
 
     /** Logs a message for operators. */
--- a/src/main/java/reedspring/api/Deployment.java
+++ b/src/main/java/reedspring/api/Deployment.java
@@ -12,13 +12,14 @@
  * @param resubmissionBudget the budget for resubmissions, null if they are not limited
  * @param orderKeyDelay the delay of an order key after a query that may still be running
  * @param overRateValue the factor on the value of queries of a tenant that exceeds its rate
- * @param noteEvery the interval at which engines report the progress of a running query
+ * @param progressInterval the interval at which engines report the progress of a running query
  * @param swapsMemory whether an engine that exceeds its memory swaps
  */
 public record Deployment(int fronts, List<ResourceGroup> groups, List<Tenant> tenants,
                          Map<Id.Kind, Machine> machines,
-                         Allowed allowed, Discovery discovery, ColdStart coldStart, Ration resubmissionBudget,
-                         long orderKeyDelay, double overRateValue, long noteEvery, boolean swapsMemory) {
+                         Capabilities capabilities, Discovery discovery, ColdStart coldStart,
+                         ResubmissionBudget resubmissionBudget, long orderKeyDelay, double overRateValue,
+                         long progressInterval, boolean swapsMemory) {
 
     /** What a query of the group changes, and so whether it may run twice. */
     public enum Effect { READ_ONLY, TOKENED, MUTATING }
@@ -54,12 +55,12 @@
     /**
      * The operations that the environment supports.
      *
-     * @param comeBack whether clients honour a retry time
-     * @param submissions the maximum number of submissions of one query
-     * @param longestComeBack the longest retry time that clients honour
+     * @param retryTimes whether clients honour a retry time
+     * @param maxSubmissions the maximum number of submissions of one query
+     * @param maxRetryAfter the longest retry time that clients honour
      */
-    public record Allowed(boolean cancel, boolean comeBack, boolean priorities,
-                          int submissions, long longestComeBack) {
+    public record Capabilities(boolean cancel, boolean retryTimes, boolean priorities,
+                               int maxSubmissions, long maxRetryAfter) {
     }
 
     /**
@@ -86,6 +87,6 @@
      * The budget for resubmissions by one front during a window: a constant number and a fraction of the
      * queries accepted.
      */
-    public record Ration(int freeResubmissions, double perQuery, long window) {
+    public record ResubmissionBudget(int freeResubmissions, double perQuery, long window) {
     }
 }
--- a/src/main/java/reedspring/api/Event.java
+++ b/src/main/java/reedspring/api/Event.java
@@ -5,7 +5,7 @@
 /** An input of the scheduler. Times and spans are in ticks: whole tenths of a millisecond. */
 public sealed interface Event {
     /** Whether a list holds only changes, is complete, or was known before discovery was asked. */
-    enum Reading { CHANGES, COMPLETE, REMEMBERED }
+    enum ListKind { CHANGES, COMPLETE, CACHED }
 
     enum Health { UP, DRAINING, GONE }
 
@@ -14,7 +14,7 @@
             long startedAt) {
     }
 
-    record EnginesListed(Reading kind, List<Listing> entries) implements Event {
+    record EnginesListed(ListKind kind, List<Listing> entries) implements Event {
     }
 
     /** A call to discovery failed or its subscription was lost; the last list remains valid. */
@@ -69,7 +69,7 @@
     record Leaving(long deadline) implements Event {
     }
 
-    /** A timer that was started with {@link Action.WakeMe} has expired. */
+    /** A timer that was started with {@link Action.StartTimer} has expired. */
     record Woken(Id.Timer timer) implements Event {
     }
 
--- a/src/main/java/reedspring/api/Id.java
+++ b/src/main/java/reedspring/api/Id.java
@@ -44,7 +44,7 @@
     record Kind(String name) implements Id {
     }
 
-    /** A timer started with {@link Action.WakeMe}. */
+    /** A timer started with {@link Action.StartTimer}. */
     record Timer(long value) implements Id {
     }
 }
--- a/src/main/java/reedspring/api/Load.java
+++ b/src/main/java/reedspring/api/Load.java
@@ -8,9 +8,9 @@
  * @param memory the utilisation of its memory, from 0 to 1
  * @param disks the utilisation of its disks, from 0 to 1
  * @param running the number of running queries
- * @param waiting the number of queued queries
+ * @param queued the number of queued queries
  */
-public record Load(double cores, double memory, double disks, double running, double waiting) {
+public record Load(double cores, double memory, double disks, double running, double queued) {
     public static final Load UNKNOWN = new Load(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
     /**
@@ -21,10 +21,10 @@
             return this;
         }
         return switch (name) {
-            case "util", "utilization" -> new Load(value, memory, disks, running, waiting);
-            case "x0" -> new Load(cores, value, disks, running, waiting);
-            case "x1" -> new Load(cores, memory, value, running, waiting);
-            case "inflight", "outstanding" -> new Load(cores, memory, disks, value, waiting);
+            case "util", "utilization" -> new Load(value, memory, disks, running, queued);
+            case "x0" -> new Load(cores, value, disks, running, queued);
+            case "x1" -> new Load(cores, memory, value, running, queued);
+            case "inflight", "outstanding" -> new Load(cores, memory, disks, value, queued);
             case "queue", "backlog" -> new Load(cores, memory, disks, running, value);
             default -> this;
         };
--- a/src/main/java/reedspring/boot/Boot.java
+++ b/src/main/java/reedspring/boot/Boot.java
@@ -46,7 +46,7 @@
     private Deployment read() throws BootException {
         return new Deployment(Math.max(1, (int) number("fleetSize", 1)), readGroups(), readTenants(),
                 readMachines(),
-                new Deployment.Allowed(flag("allowed.cancel"), flag("allowed.retryAfter"),
+                new Deployment.Capabilities(flag("allowed.cancel"), flag("allowed.retryAfter"),
                         flag("familyInfo.lanesCount"),
                         (int) number("allowed.sendCap", 1),
                         Times.ticksAtMost(number("allowed.maxRetryAfterMs", 0))),
@@ -57,7 +57,7 @@
                         number("rules.fallMultiple", 1),
                         Times.ticksAtLeast(number("rules.overloadForMs", 0))),
                 pairs.containsKey("rules.repeatRatio") || pairs.containsKey("rules.freeResends")
-                        ? new Deployment.Ration((int) number("rules.freeResends", 0),
+                        ? new Deployment.ResubmissionBudget((int) number("rules.freeResends", 0),
                                 number("rules.repeatRatio", 0),
                                 Times.nearest(number("rules.resendSpanMs", 0)))
                         : null,
--- a/src/main/java/reedspring/core/policy/AcceptBackoff.java
+++ b/src/main/java/reedspring/core/policy/AcceptBackoff.java
@@ -28,7 +28,7 @@
     private long delay;
 
     /** Records a failed accept and returns the delay before the next one; 0 for none. */
-    public long failed(Cause cause) {
+    public long onFailure(Cause cause) {
         if (cause == Cause.CONNECTION) {
             return 0;
         }
@@ -38,7 +38,7 @@
     }
 
     /** Records a successful accept, which resets the backoff. */
-    public void succeeded() {
+    public void onSuccess() {
         delay = 0;
     }
 }
--- a/src/main/java/reedspring/core/policy/QueryLifecycle.java
+++ b/src/main/java/reedspring/core/policy/QueryLifecycle.java
@@ -87,8 +87,8 @@
         this.maxSubmissions = maxSubmissions;
     }
 
-    /** Starts another submission if permitted; it is then outstanding until {@link #attemptEnded}. */
-    public Verdict startAttempt() {
+    /** Starts another submission if permitted; it is then outstanding until {@link #submissionEnded}. */
+    public Verdict startSubmission() {
         if (submission != SubmissionState.NONE) {
             return Verdict.ATTEMPT_OUT;
         }
@@ -128,7 +128,7 @@
     }
 
     /** @param neverRan whether its outcome proves that the engine did not start it */
-    public void attemptEnded(boolean neverRan) {
+    public void submissionEnded(boolean neverRan) {
         mayHaveRun |= submission == SubmissionState.SENT && !neverRan;
         submission = SubmissionState.NONE;
     }
--- a/src/main/java/reedspring/net/AcceptGuard.java
+++ b/src/main/java/reedspring/net/AcceptGuard.java
@@ -82,7 +82,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
         accepted++;
         selectorReported |= !acceptingAll;
-        backoff.succeeded();
+        backoff.onSuccess();
         ctx.fireChannelRead(connection);
     }
 
@@ -139,7 +139,7 @@
         front.log().line("accept failed", failureCause + ", " + cause.getMessage());
         front.counters().add(failureCause);
         // One pass can fail twice but pauses only once.
-        long delayTicks = rests ? 0 : backoff.failed(failureCause);
+        long delayTicks = rests ? 0 : backoff.onFailure(failureCause);
         if (delayTicks > 0) {
             Channel listener = ctx.channel();
             rests = true;
--- a/src/main/java/reedspring/net/Engines.java
+++ b/src/main/java/reedspring/net/Engines.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void listed(Event.Reading reading, List<Host> hosts) {
+    public void listed(Event.ListKind reading, List<Host> hosts) {
         listCount++;
         for (Host host : hosts) {
             Id.Engine id = host.listing().engine();
@@ -66,7 +66,7 @@
                 List.copyOf(pool.connections).forEach(EngineConnection::retire);
             }
         }
-        if (reading != Event.Reading.CHANGES) {
+        if (reading != Event.ListKind.CHANGES) {
             pools.forEach((id, pool) -> {
                 if (pool.lastListedIn != listCount) {
                     pool.up = false;
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -180,7 +180,7 @@
 
     // ---- engine list from the journal
 
-    void listed(Event.Reading reading, List<Host> hosts) {
+    void listed(Event.ListKind reading, List<Host> hosts) {
         engines.listed(reading, hosts);
         listed = true;
         engineEvents.add(new Event.EnginesListed(reading, hosts.stream().map(Host::listing).toList()));
@@ -278,7 +278,7 @@
         Deployment.ResourceGroup resourceGroup = boot.deployment().groups().get(request.group().index());
         OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, request,
                 Math.min(leavingDeadline, arrivedAt + Times.nearest(request.timeoutMs())),
-                new QueryLifecycle(resourceGroup, boot.deployment().allowed().submissions()));
+                new QueryLifecycle(resourceGroup, boot.deployment().capabilities().maxSubmissions()));
         q.arrivedAt = arrivedAt;
         q.history.add(Step.TAKEN, null, arrivedAt);
         q.paged = kept != null && "1".equals(call.fields().get("pages"));
@@ -428,7 +428,7 @@
                 Event next = engineEvents.isEmpty() ? events.poll() : engineEvents.poll();
                 long startedAt = probe.decides();
                 try {
-                    control.on(clock.now(), next, this::performSafely);
+                    control.onEvent(clock.now(), next, this::performSafely);
                 } catch (RuntimeException | Error e) {
                     // The expiry timer still answers the query concerned.
                     log.fault("a decision failed", e);
@@ -472,7 +472,7 @@
         } else if (action instanceof Action.Defer defer) {
             OpenQuery q = findUnanswered(defer.query());
             if (q != null) {
-                defer(q, defer.comeBack());
+                defer(q, defer.retryAfter());
                 releaseIfDone(q);
             }
         } else if (action instanceof Action.Kill kill) {
@@ -481,12 +481,12 @@
                 fail(q, "failed");
                 releaseIfDone(q);
             }
-        } else if (action instanceof Action.WakeMe wake) {
-            timers.in(wake.span(), () -> enqueueEvent(new Event.Woken(wake.timer())));
+        } else if (action instanceof Action.StartTimer wake) {
+            timers.in(wake.delay(), () -> enqueueEvent(new Event.Woken(wake.timer())));
         } else if (action instanceof Action.Remark remark) {
             log.remark("decision", remark.text());
         }
-        // FollowEngines needs no action: the journal is followed from the start.
+        // SubscribeToEngines needs no action: the journal is followed from the start.
     }
 
     private OpenQuery findUnanswered(Id.Query id) {
@@ -503,9 +503,9 @@
         }
         long now = clock.now();
         long timeoutAt = submit.timeout() > 0 ? Math.min(q.deadline, now + submit.timeout()) : q.deadline;
-        Submission s = new Submission(q, now, timeoutAt, submit.departBy());
+        Submission s = new Submission(q, now, timeoutAt, submit.latestSendAt());
         q.submission = s;
-        Verdict verdict = q.lifecycle.startAttempt();
+        Verdict verdict = q.lifecycle.startSubmission();
         if (!verdict.allowed()) {
             // The query may have ended since the event under decision, when its client left. Without this end
             // the decisions would count the submission's threads as in use forever.
@@ -608,7 +608,7 @@
         if (kept != null) {
             kept.submissionEnded(s);
         }
-        q.lifecycle.attemptEnded(outcome.neverRan());
+        q.lifecycle.submissionEnded(outcome.neverRan());
         q.history.add(Step.ATTEMPT_ENDED, outcome, clock.now());
         counters.add(outcome);
         if (outcome == Outcome.FINISHED && !q.answered()) {
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -28,7 +28,7 @@
 import java.util.SplittableRandom;
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 import reedspring.boot.BootException;
 import reedspring.core.policy.EngineStartTime;
@@ -85,7 +85,7 @@
         }
         position = Json.whole(configured, "pos", 0);
         if (position > 0 || !held.isEmpty()) {
-            front.listed(Reading.REMEMBERED, List.copyOf(held.values()));
+            front.listed(ListKind.CACHED, List.copyOf(held.values()));
         }
     }
 
@@ -332,7 +332,7 @@
         position = eventNumber;
         if (list != null) {
             applyList(complete, hosts);
-            front.listed(complete ? Reading.COMPLETE : Reading.CHANGES, List.copyOf(hosts.values()));
+            front.listed(complete ? ListKind.COMPLETE : ListKind.CHANGES, List.copyOf(hosts.values()));
         }
         return true;
     }
--- a/src/main/java/reedspring/net/Limits.java
+++ b/src/main/java/reedspring/net/Limits.java
@@ -164,7 +164,7 @@
         leavingQuiet = Math.min(DEFAULT_QUIET_MS, killAtMs - CLOSED_BEFORE_KILL_MS);
         leavingLongest = killAtMs - ANSWERED_BEFORE_KILL_MS;
         leavingGone = killAtMs - EXIT_BEFORE_KILL_MS;
-        Deployment.Allowed allowed = boot.deployment().allowed();
-        comeBack = allowed.comeBack() ? (int) (allowed.longestComeBack() / 10) : 0;
+        Deployment.Capabilities allowed = boot.deployment().capabilities();
+        comeBack = allowed.retryTimes() ? (int) (allowed.maxRetryAfter() / 10) : 0;
     }
 }
--- a/src/main/java/reedspring/spread/Spread.java
+++ b/src/main/java/reedspring/spread/Spread.java
@@ -152,7 +152,7 @@
         double utilisation = Math.max(valueOrZero(load.cores()),
                 Math.max(valueOrZero(load.memory()), valueOrZero(load.disks())));
         double running = Double.isNaN(load.cores()) ? valueOrZero(load.running()) : 0;
-        reportedLoad[row] = utilisation + (running + valueOrZero(load.waiting())) / Math.max(1, cores[row]);
+        reportedLoad[row] = utilisation + (running + valueOrZero(load.queued())) / Math.max(1, cores[row]);
         reportedAt[row] = now;
         meanReportedLoad = IntStream.range(0, rowCount).filter(k -> up[k] && !Double.isNaN(reportedLoad[k]))
                 .mapToDouble(k -> reportedLoad[k]).average().orElse(0);
--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -172,8 +172,8 @@
         }
 
         @Override
-        public void listed(Event.Reading reading, List<Host> hosts) {
-            if (reading != Event.Reading.CHANGES) {
+        public void listed(Event.ListKind reading, List<Host> hosts) {
+            if (reading != Event.ListKind.CHANGES) {
                 listed.clear();
                 digest = 0;
             }
--- a/src/rig/java/reedspring/rig/Lists.java
+++ b/src/rig/java/reedspring/rig/Lists.java
@@ -11,7 +11,7 @@
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
 import reedspring.api.Event.Listing;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 import reedspring.api.Load;
 
@@ -49,20 +49,20 @@
         for (int repeat = 0; repeat < REPEATS && spent < MOST_S * 1e3 / 2; repeat++) {
             Control control = new Control(repeat, rules(), 1_000_000, action -> { });
             List<Listing> list = rows(0, engines);
-            double first = listed(control, Reading.REMEMBERED, list);
+            double first = listed(control, ListKind.CACHED, list);
             double again = Double.NaN;
             double half = Double.NaN;
             if (first < MOST_S * 1e3 / 3) {
-                again = listed(control, Reading.COMPLETE, list);
-                half = listed(control, Reading.COMPLETE, rows(engines / 2, engines));
+                again = listed(control, ListKind.COMPLETE, list);
+                half = listed(control, ListKind.COMPLETE, rows(engines / 2, engines));
             }
             double changed = 0;
             double report = 0;
             for (int k = 0; k < 20; k++) {
                 Listing row = rows(engines - 1 - k, 1).get(0);
-                changed += listed(control, Reading.CHANGES, List.of(new Listing(row.engine(), row.kind(),
+                changed += listed(control, ListKind.CHANGES, List.of(new Listing(row.engine(), row.kind(),
                         row.zone(), row.cell(), Health.DRAINING, 0))) / 20;
-                report += cpu(() -> control.on(1_000_000, new Event.LoadReported(row.engine(),
+                report += cpu(() -> control.onEvent(1_000_000, new Event.LoadReported(row.engine(),
                         new Load(0.5, 0.5, 0.5, 3, 1)), action -> { })) / 20;
             }
             all.add(new double[] {first, again, half, changed, report});
@@ -80,8 +80,8 @@
         return all.get(0)[0];
     }
 
-    private static double listed(Control control, Reading reading, List<Listing> rows) {
-        return cpu(() -> control.on(1_000_000, new Event.EnginesListed(reading, rows), action -> { }));
+    private static double listed(Control control, ListKind reading, List<Listing> rows) {
+        return cpu(() -> control.onEvent(1_000_000, new Event.EnginesListed(reading, rows), action -> { }));
     }
 
     private static double cpu(Runnable what) {
@@ -104,7 +104,7 @@
                 Deployment.Effect.READ_ONLY, Deployment.Recognised.ALL, 4 * SECOND, false, null, null)),
                 List.of(new Deployment.Tenant(1, 100)),
                 Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000)),
-                new Deployment.Allowed(true, true, true, 4, SECOND / 2),
+                new Deployment.Capabilities(true, true, true, 4, SECOND / 2),
                 new Deployment.Discovery(false, 10 * SECOND),
                 new Deployment.ColdStart(0.3, 10 * SECOND, 3, 2 * SECOND), null, SECOND, 0.1, 2 * SECOND,
                 true);
--- a/src/rig/java/reedspring/rig/fleet/EngineHost.java
+++ b/src/rig/java/reedspring/rig/fleet/EngineHost.java
@@ -253,7 +253,7 @@
         }
         Load load = lies ? new Load(0, 0, Double.NaN, 0, 0) : stuck != null ? stuck : machine.load();
         return String.format(Locale.ROOT, "rep=util:%.2f;x0:%.2f;queue:%.0f", load.cores(), load.memory(),
-                load.waiting());
+                load.queued());
     }
 
     synchronized void fails(boolean on) {
--- a/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
+++ b/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
@@ -147,7 +147,7 @@
                     trip.front.comes(trip, Outcome.FINISHED, run.work);
                 }
             }
-            long every = rules.noteEvery();
+            long every = rules.progressInterval();
             for (Machine.Run run : List.copyOf(machine.runs())) {
                 if (now - run.since >= STEP && (now - run.since) % every < STEP && active(What.SILENT,
                         at) == null) {
@@ -194,7 +194,7 @@
             lastHeard = new HashMap<>();
             control = new Control(chance.nextLong(), rules, now, this::act);
             List<Event.Listing> listed = engines.stream().map(Engine::listing).toList();
-            on(new Event.EnginesListed(Event.Reading.COMPLETE, listed));
+            on(new Event.EnginesListed(Event.ListKind.COMPLETE, listed));
         }
 
         private void dies() {
@@ -228,7 +228,7 @@
         }
 
         private void on(Event event) {
-            control.on(now, event, this::act);
+            control.onEvent(now, event, this::act);
         }
 
         private void take(Call call) {
@@ -242,19 +242,19 @@
         private void act(Action action) {
             if (action instanceof Action.Submit submit) {
                 submit(submit);
-            } else if (action instanceof Action.WakeMe wake) {
+            } else if (action instanceof Action.StartTimer wake) {
                 int mine = life;
-                at(now + wake.span(), () -> {
+                at(now + wake.delay(), () -> {
                     if (life == mine) {
                         later(() -> on(new Event.Woken(wake.timer())));
                     }
                 });
             } else if (action instanceof Action.Defer defer) {
-                require(defer.comeBack() <= rules.allowed().longestComeBack(),
+                require(defer.retryAfter() <= rules.capabilities().maxRetryAfter(),
                         "a longer time than is heeded");
                 require(!ran.contains(defer.query()), "a change that may have run was deferred");
                 Call call = answer(defer.query());
-                comesBack(call, now + Math.max(defer.comeBack(), 5 * MS));
+                comesBack(call, now + Math.max(defer.retryAfter(), 5 * MS));
             } else if (action instanceof Action.Kill kill) {
                 answer(kill.query());
                 count("killed");
@@ -274,7 +274,7 @@
             int number = submissions.merge(submit.query(), 1, Integer::sum) - 1;
             require(call != null && !answered.contains(submit.query()), "a submission for what is over");
             require(!out.containsKey(submit.query()), "two submissions at once");
-            require(number < rules.allowed().submissions(), "a submission too many");
+            require(number < rules.capabilities().maxSubmissions(), "a submission too many");
             Engine engine = engines.stream().filter(e -> submit.engine().address().equals(e.id)).findAny()
                     .orElse(null);
             long off = toldOff.getOrDefault(submit.engine(), Long.MAX_VALUE);
@@ -411,7 +411,7 @@
                 } else {
                     toldOff.putIfAbsent(listing.engine(), now);
                 }
-                on(new Event.EnginesListed(Event.Reading.CHANGES, List.of(listing)));
+                on(new Event.EnginesListed(Event.ListKind.CHANGES, List.of(listing)));
             });
         }
 
--- a/src/rig/java/reedspring/rig/scale/Alone.java
+++ b/src/rig/java/reedspring/rig/scale/Alone.java
@@ -13,7 +13,7 @@
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
 import reedspring.api.Event.Outcome;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 import reedspring.api.Load;
 import reedspring.rig.Rig;
@@ -44,7 +44,7 @@
         Deployment house = new Deployment(fronts, List.of(group),
                 List.of(new Deployment.Tenant(1, queriesPerSecond)),
                 Map.of(new Id.Kind("std"), new Deployment.Machine(CORES, 64_000)),
-                new Deployment.Allowed(false, true, false, 3, SECOND / 2),
+                new Deployment.Capabilities(false, true, false, 3, SECOND / 2),
                 new Deployment.Discovery(false, 10 * SECOND),
                 new Deployment.ColdStart(0.3, 10 * SECOND, 3, 2 * SECOND), null, SECOND, 0.1, 2 * SECOND,
                 true);
@@ -65,23 +65,23 @@
         if (action instanceof Action.Submit submit) {
             sent = submit;
             submits++;
-        } else if (action instanceof Action.WakeMe wake) {
+        } else if (action instanceof Action.StartTimer wake) {
             pulse = wake.timer();
         }
     }
 
     private void on(Event event) {
-        control.on(now, event, this::acts);
+        control.onEvent(now, event, this::acts);
     }
 
     void wholeList() {
-        on(new Event.EnginesListed(Reading.COMPLETE, listings));
+        on(new Event.EnginesListed(ListKind.COMPLETE, listings));
     }
 
     /** One engine drains, or is back. */
     void row() {
         int k = rows / 2 % listings.size();
-        on(new Event.EnginesListed(Reading.CHANGES,
+        on(new Event.EnginesListed(ListKind.CHANGES,
                 List.of(listing(k, rows++ % 2 == 0 ? Health.DRAINING : Health.UP))));
     }
 
--- a/src/test/java/reedspring/ControlHarness.java
+++ b/src/test/java/reedspring/ControlHarness.java
@@ -93,18 +93,19 @@
                 false, null, null);
     }
 
-    static Deployment deployment(boolean cancel, boolean mustSubscribe, Deployment.Ration resubmissionBudget,
+    static Deployment deployment(boolean cancel, boolean mustSubscribe,
+                                 Deployment.ResubmissionBudget resubmissionBudget,
                                  Deployment.ResourceGroup... groups) {
         return deployment(2, cancel, mustSubscribe, resubmissionBudget, groups);
     }
 
     static Deployment deployment(int fronts, boolean cancel, boolean mustSubscribe,
-            Deployment.Ration resubmissionBudget,
+            Deployment.ResubmissionBudget resubmissionBudget,
                                  Deployment.ResourceGroup... groups) {
         return new Deployment(fronts, List.of(groups),
                 List.of(new Deployment.Tenant(0.7, 70), new Deployment.Tenant(0.3, 30)),
                 Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000)),
-                new Deployment.Allowed(cancel, true, true, 4, TICKS_PER_SECOND / 2),
+                new Deployment.Capabilities(cancel, true, true, 4, TICKS_PER_SECOND / 2),
                 new Deployment.Discovery(mustSubscribe, 10 * TICKS_PER_SECOND),
                 new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND),
                 resubmissionBudget,
@@ -117,8 +118,8 @@
                 new Id.Zone("z" + k % 2), new Id.Cell(k % 3), health, startedAt);
     }
 
-    void list(Event.Reading reading, Listing... entries) {
-        if (reading != Event.Reading.CHANGES) {
+    void list(Event.ListKind reading, Listing... entries) {
+        if (reading != Event.ListKind.CHANGES) {
             for (Id.Engine id : listed.keySet()) {
                 notUpSince.putIfAbsent(id, now);
             }
@@ -180,7 +181,7 @@
         if (event instanceof Event.ListUnavailable) {
             unsubscribedSince = Math.min(unsubscribedSince, now);
         }
-        control.on(now, event, this::check);
+        control.onEvent(now, event, this::check);
     }
 
     /** Advances the time, with the timers, timeouts and client deadlines on the way. */
@@ -230,9 +231,9 @@
 
     private void check(Action action) {
         lastActions.add(action);
-        if (action instanceof Action.WakeMe wake) {
-            timers.add(new long[] {now + wake.span(), wake.timer().value()});
-        } else if (action instanceof Action.FollowEngines) {
+        if (action instanceof Action.StartTimer wake) {
+            timers.add(new long[] {now + wake.delay(), wake.timer().value()});
+        } else if (action instanceof Action.SubscribeToEngines) {
             unsubscribedSince = Long.MAX_VALUE;
         } else if (action instanceof Action.Submit submit) {
             submits.add(submit);
@@ -251,7 +252,7 @@
             removeIfClosed(q);
         } else if (action instanceof Action.Cancel cancel) {
             cancelled.add(cancel.query());
-            require(configuration.allowed().cancel(), "cancel although it is not supported", null);
+            require(configuration.capabilities().cancel(), "cancel although it is not supported", null);
         }
     }
 
@@ -274,7 +275,7 @@
                     "repeat outside the zone or cell that recognises it", q);
             require(now - q.firstRanSince <= group.recognisedFor(),
                     "repeat after engines forgot the first submission", q);
-            require(submit.departBy() < q.firstRanSince + group.recognisedFor(),
+            require(submit.latestSendAt() < q.firstRanSince + group.recognisedFor(),
                     "it may arrive after engines forgot the first submission", q);
         }
         if (group.ordered() && q.event.key() != null) {
@@ -344,8 +345,9 @@
                 Effect.values()[random.nextInt(3)], Recognised.values()[random.nextInt(3)],
                 3 * TICKS_PER_SECOND,
                 ordered, null, null);
-        Deployment.Ration resubmissionBudget = random.nextInt(3) == 0 ? null
-                : new Deployment.Ration(random.nextInt(4), 0.1, (1 + random.nextInt(8)) * TICKS_PER_SECOND);
+        Deployment.ResubmissionBudget resubmissionBudget = random.nextInt(3) == 0 ? null
+                : new Deployment.ResubmissionBudget(random.nextInt(4), 0.1,
+                        (1 + random.nextInt(8)) * TICKS_PER_SECOND);
         int[] fronts = {1, 2, 7, 300};
         return deployment(fronts[random.nextInt(4)], random.nextBoolean(), random.nextInt(3) == 0,
                 resubmissionBudget,
--- a/src/test/java/reedspring/ControlTest.java
+++ b/src/test/java/reedspring/ControlTest.java
@@ -20,7 +20,7 @@
 import reedspring.api.Event.Health;
 import reedspring.api.Event.Listing;
 import reedspring.api.Event.Outcome;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 
 class ControlTest {
@@ -37,7 +37,7 @@
             listings[k] = ControlHarness.engine(k, Health.UP, random.nextInt(4) == 0
                     ? harness.now - random.nextInt(100_000) : 0);
         }
-        harness.list(Reading.REMEMBERED, listings);
+        harness.list(ListKind.CACHED, listings);
         double errorRatio = random.nextDouble();
         for (int step = 0; step < 600; step++) {
             harness.advance(1 + random.nextInt(random.nextInt(10) == 0 ? 4000 : 300));
@@ -128,7 +128,7 @@
     void aQueryTooSlowForAColdEngineGoesToAWarmOne() {
         ControlHarness harness = harnessWithWarmEngines(1,
                 ControlHarness.deployment(1, true, false, null, ControlHarness.SHORT, ControlHarness.LONG));
-        harness.list(Reading.CHANGES, new Listing(new Id.Engine("cold"), new Id.Kind("m"), new Id.Zone("z0"),
+        harness.list(ListKind.CHANGES, new Listing(new Id.Engine("cold"), new Id.Kind("m"), new Id.Zone("z0"),
                 new Id.Cell(0), Health.UP, harness.now));
         harness.advance(5 * TICKS_PER_SECOND / 2);
         for (int k = 0; k < 4; k++) {
@@ -165,17 +165,17 @@
     private static void disturb(ControlHarness harness, SplittableRandom random, int engineCount, long seed) {
         int k = random.nextInt(engineCount);
         switch (random.nextInt(6)) {
-            case 0 -> harness.list(Reading.CHANGES, ControlHarness.engine(k, Health.DRAINING, 0));
-            case 1 -> harness.list(Reading.CHANGES, ControlHarness.engine(k, Health.GONE, 0));
-            case 2 -> harness.list(Reading.COMPLETE, ControlHarness.engine(k, Health.UP, harness.now));
+            case 0 -> harness.list(ListKind.CHANGES, ControlHarness.engine(k, Health.DRAINING, 0));
+            case 1 -> harness.list(ListKind.CHANGES, ControlHarness.engine(k, Health.GONE, 0));
+            case 2 -> harness.list(ListKind.COMPLETE, ControlHarness.engine(k, Health.UP, harness.now));
             case 3 -> harness.on(new Event.ListUnavailable());
             case 4 -> {
                 if (random.nextInt(10) == 0) {
                     harness.start(seed + 1);
-                    harness.list(Reading.REMEMBERED, ControlHarness.engine(k, Health.UP, 0));
+                    harness.list(ListKind.CACHED, ControlHarness.engine(k, Health.UP, 0));
                 }
             }
-            default -> harness.list(Reading.CHANGES, ControlHarness.engine(k, Health.UP,
+            default -> harness.list(ListKind.CHANGES, ControlHarness.engine(k, Health.UP,
                     harness.now - random.nextInt(50_000)));
         }
     }
@@ -187,7 +187,7 @@
             listings[k] = new Listing(new Id.Engine("e" + k), new Id.Kind("m"), new Id.Zone("z" + k % 2),
                     new Id.Cell(k % 3), Health.UP, 0);
         }
-        harness.list(Reading.REMEMBERED, listings);
+        harness.list(ListKind.CACHED, listings);
         return harness;
     }
 
@@ -301,8 +301,8 @@
                 list[j] = new Listing(new Id.Engine("e" + (k - j)), new Id.Kind("m"), new Id.Zone("z"),
                         new Id.Cell(0), Health.UP, 0);
             }
-            harness.list(k % 2 == 0 ? Reading.COMPLETE : Reading.CHANGES, list);
-            harness.list(Reading.CHANGES, ControlHarness.engine(k - 4, Health.GONE, 0));
+            harness.list(k % 2 == 0 ? ListKind.COMPLETE : ListKind.CHANGES, list);
+            harness.list(ListKind.CHANGES, ControlHarness.engine(k - 4, Health.GONE, 0));
             harness.advance(200);
             Outcome outcome = Outcome.values()[k % Outcome.values().length];
             queries.stream().filter(q -> q.runningOn != null).forEach(q -> harness.end(q, outcome));
@@ -317,7 +317,7 @@
     /** If a list holds two entries for an engine, the later one counts. */
     @Example
     void theLastEntryOfAnEngineListedTwiceCounts() {
-        for (Reading reading : List.of(Reading.CHANGES, Reading.COMPLETE)) {
+        for (ListKind reading : List.of(ListKind.CHANGES, ListKind.COMPLETE)) {
             ControlHarness harness = harnessWithWarmEngines(2, defaultDeployment());
             Listing ready = ControlHarness.engine(9, Health.UP, 0);
             Listing drains = ControlHarness.engine(9, Health.DRAINING, 0);
@@ -337,8 +337,8 @@
     @Example
     void aReturningEngineKeepsItsRowBesideANewOne() {
         ControlHarness harness = harnessWithWarmEngines(3, defaultDeployment());
-        harness.list(Reading.CHANGES, ControlHarness.engine(1, Health.GONE, 0));
-        harness.list(Reading.CHANGES, ControlHarness.engine(1, Health.UP, 0),
+        harness.list(ListKind.CHANGES, ControlHarness.engine(1, Health.GONE, 0));
+        harness.list(ListKind.CHANGES, ControlHarness.engine(1, Health.UP, 0),
                 ControlHarness.engine(5, Health.UP, 0));
         assertTrue(submitsTo(harness, "e1") > 0 && submitsTo(harness, "e5") > 0, harness.submits::toString);
     }
@@ -375,7 +375,7 @@
     void anEmptyEngineListQueuesAndThenDefersQueries() {
         ControlHarness harness = new ControlHarness(defaultDeployment());
         OpenQuery q = harness.accept(0, -1, 0, 50_000, null);
-        harness.list(Reading.COMPLETE);
+        harness.list(ListKind.COMPLETE);
         harness.advance(5 * TICKS_PER_SECOND);
         assertTrue(q.answered);
         assertEquals(0, harness.submits.size());
@@ -392,8 +392,8 @@
     @Example
     void theResubmissionBudgetIsCheckedAtDispatch() {
         ControlHarness harness = harnessWithWarmEngines(1,
-                ControlHarness.deployment(true, false, new Deployment.Ration(1, 0, 10 * TICKS_PER_SECOND),
-                ControlHarness.SHORT));
+                ControlHarness.deployment(true, false, new Deployment.ResubmissionBudget(1, 0,
+                        10 * TICKS_PER_SECOND), ControlHarness.SHORT));
         OpenQuery one = harness.accept(0, 0, 1000, 50_000, null);
         OpenQuery two = harness.accept(0, 0, 1000, 50_000, null);
         harness.end(one, Outcome.ERROR);
@@ -521,7 +521,7 @@
     @Example
     void aColdEngineTakesALongQueryThatIsTypicalForItsGroup() {
         ControlHarness harness = new ControlHarness(defaultDeployment());
-        harness.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
+        harness.list(ListKind.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
         harness.advance(3 * TICKS_PER_SECOND);
         OpenQuery q = harness.accept(1, 0, 20_000, 150_000, null);
         harness.advance(TICKS_PER_SECOND / 10);
@@ -544,7 +544,7 @@
         }
         assertEquals(null, last.runningOn, "the limit is reached");
         int warm = harness.submits.size();
-        harness.list(Reading.CHANGES, cold(harness));
+        harness.list(ListKind.CHANGES, cold(harness));
         harness.advance(6 * TICKS_PER_SECOND / 10);
         long atCold = harness.submits.stream().filter(s -> s.engine().address().equals("cold")).count();
         // 0.4 of 3 x 0.3 x 8 cores, half of it this front's, is 7 queries of 0.2 s per second.
@@ -556,7 +556,7 @@
     @Example
     void coldEnginesDoNotRaiseTheLimitOnWarmOnes() {
         ControlHarness harness = harnessWithWarmEngines(1, defaultDeployment());
-        harness.list(Reading.CHANGES, cold(harness));
+        harness.list(ListKind.CHANGES, cold(harness));
         for (int k = 0; k < 30; k++) {
             harness.accept(0, 0, 2_000, 50_000, null);
         }
@@ -569,7 +569,7 @@
     void aNewFrontSendsNothingToAColdEngineForOneWindow() {
         ControlHarness harness = new ControlHarness(ControlHarness.deployment(true, false, null,
                 ControlHarness.group(40_000, 1, 1, Effect.READ_ONLY)));
-        harness.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
+        harness.list(ListKind.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
         OpenQuery q = harness.accept(0, 0, 2000, 150_000, null);
         harness.advance(2 * TICKS_PER_SECOND - 500);
         assertEquals(0, q.submissions);
@@ -629,7 +629,7 @@
         for (int k = 0; k < 300; k++) {
             ControlHarness harness = new ControlHarness(deployment, k);
             harness.advance(3 * TICKS_PER_SECOND);
-            harness.list(Reading.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
+            harness.list(ListKind.COMPLETE, ControlHarness.engine(0, Health.UP, harness.now));
             fronts.add(harness);
         }
         long[] inWindow = new long[40];
@@ -736,11 +736,11 @@
             ControlHarness harness = harnessWithWarmEngines(40,
                     ControlHarness.deployment(fronts, true, false, null, ControlHarness.SHORT,
                     ControlHarness.LONG));
-            harness.list(Reading.COMPLETE, new Listing(new Id.Engine("e3"), new Id.Kind("m"),
+            harness.list(ListKind.COMPLETE, new Listing(new Id.Engine("e3"), new Id.Kind("m"),
                     new Id.Zone("z1"), new Id.Cell(0), Health.UP, 0));
             OpenQuery q = harness.accept(1, 0, 20_000, 150_000, null);
             assertEquals("e3", q.runningOn.address());
-            harness.list(Reading.COMPLETE);
+            harness.list(ListKind.COMPLETE);
             OpenQuery late = harness.accept(0, 0, 2000, 50_000, null);
             harness.advance(4 * TICKS_PER_SECOND);
             assertTrue(late.answered && late.submissions == 0);
--- a/src/test/java/reedspring/DecisionsTest.java
+++ b/src/test/java/reedspring/DecisionsTest.java
@@ -29,7 +29,7 @@
 import reedspring.api.Event.Health;
 import reedspring.api.Event.Listing;
 import reedspring.api.Event.Outcome;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 import reedspring.api.Load;
 
@@ -137,7 +137,7 @@
             for (int k = 0; k < engines; k++) {
                 list.add(newEngine(random.nextInt(8) == 0 ? now - random.nextInt(60_000) : 0));
             }
-            sendList(Reading.REMEMBERED, list);
+            sendList(ListKind.CACHED, list);
             double cores = 8.0 * engines / fronts;
             for (int step = 0; step < STEPS; step++) {
                 // As many queries as the front's share of the engines runs at that load, 0.4 s each.
@@ -194,7 +194,7 @@
                 on(new Event.ListUnavailable());
             } else if (choice == 98 && random.nextInt(8) == 0) {
                 start();
-                sendList(Reading.REMEMBERED, list);
+                sendList(ListKind.CACHED, list);
             } else {
                 draw(List.copyOf(list)).forEach(e -> slowdown.put(e.engine(), random.nextInt(3) == 0
                         ? 1 : 1 + 4 * random.nextDouble()));
@@ -252,15 +252,15 @@
                 if (random.nextInt(3) == 0) {
                     shuffled.add(with(shuffled.get(0), Health.DRAINING, 0));
                 }
-                sendList(Reading.COMPLETE, shuffled);
+                sendList(ListKind.COMPLETE, shuffled);
             } else if (choice == 11) {
-                sendList(Reading.COMPLETE, list);
+                sendList(ListKind.COMPLETE, list);
             } else {
-                sendList(Reading.CHANGES, changes);
+                sendList(ListKind.CHANGES, changes);
             }
         }
 
-        private void sendList(Reading reading, List<Listing> rows) {
+        private void sendList(ListKind reading, List<Listing> rows) {
             on(new Event.EnginesListed(reading, List.copyOf(rows)));
         }
 
@@ -331,7 +331,7 @@
         }
 
         private void on(Event event) {
-            control.on(now, event, this::handle);
+            control.onEvent(now, event, this::handle);
         }
 
         private void handle(Action action) {
@@ -349,7 +349,7 @@
                         ? 60 * TICKS_PER_SECOND : (long) runTicks));
                 log.append(" submit ").append(submit.query().value()).append(' ')
                         .append(submit.engine().address()).append(' ').append(submit.timeout()).append(' ')
-                        .append(submit.departBy());
+                        .append(submit.latestSendAt());
             } else if (action instanceof Action.SetPriority priority) {
                 log.append(" priority ").append(priority.query().value()).append(' ')
                         .append(priority.priority());
@@ -362,15 +362,15 @@
                 log.append(" cancel ").append(cancel.query().value()).append(' ')
                         .append(cancel.submission().value());
             } else if (action instanceof Action.Defer defer) {
-                log.append(" defer ").append(defer.query().value()).append(' ').append(defer.comeBack());
+                log.append(" defer ").append(defer.query().value()).append(' ').append(defer.retryAfter());
                 markAnswered(defer.query());
             } else if (action instanceof Action.Kill kill) {
                 log.append(" kill ").append(kill.query().value());
                 markAnswered(kill.query());
-            } else if (action instanceof Action.WakeMe wake) {
-                timers.add(new long[] {now + wake.span(), wake.timer().value()});
-                log.append(" wake ").append(wake.timer().value()).append(' ').append(wake.span());
-            } else if (action instanceof Action.FollowEngines) {
+            } else if (action instanceof Action.StartTimer wake) {
+                timers.add(new long[] {now + wake.delay(), wake.timer().value()});
+                log.append(" wake ").append(wake.timer().value()).append(' ').append(wake.delay());
+            } else if (action instanceof Action.SubscribeToEngines) {
                 log.append(" follow");
             } else if (action instanceof Action.Remark remark) {
                 log.append(" remark ").append(remark.text());
@@ -397,8 +397,8 @@
                     Effect.values()[random.nextInt(3)], Recognised.values()[random.nextInt(3)],
                     3 * TICKS_PER_SECOND,
                     ordered, null, null);
-            Deployment.Ration resubmissionBudget = random.nextInt(3) == 0 ? null
-                    : new Deployment.Ration(random.nextInt(4), 0.1,
+            Deployment.ResubmissionBudget resubmissionBudget = random.nextInt(3) == 0 ? null
+                    : new Deployment.ResubmissionBudget(random.nextInt(4), 0.1,
                             (1 + random.nextInt(8)) * TICKS_PER_SECOND);
             // Whole numbers, so that their sum does not depend on the iteration order of the map.
             return new Deployment(fronts, List.of(ControlHarness.SHORT, ControlHarness.LONG, third, fourth),
@@ -406,8 +406,8 @@
                     Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000),
                             new Id.Kind("s"), new Deployment.Machine(4, 8_000),
                             new Id.Kind("l"), new Deployment.Machine(32, 64_000)),
-                    new Deployment.Allowed(seed % 3 > 0, seed % 4 > 0, seed % 2 > 0, 1 + random.nextInt(4),
-                            TICKS_PER_SECOND / 2),
+                    new Deployment.Capabilities(seed % 3 > 0, seed % 4 > 0, seed % 2 > 0,
+                            1 + random.nextInt(4), TICKS_PER_SECOND / 2),
                     new Deployment.Discovery(random.nextInt(3) == 0, 10 * TICKS_PER_SECOND),
                     new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND),
                     resubmissionBudget,
--- a/src/test/java/reedspring/core/policy/PoliciesTest.java
+++ b/src/test/java/reedspring/core/policy/PoliciesTest.java
@@ -11,18 +11,18 @@
     @Example
     void onlyResourceFailuresBackOffExponentially() {
         AcceptBackoff backoff = new AcceptBackoff();
-        assertEquals(0, backoff.failed(Cause.CONNECTION));
-        assertEquals(10, backoff.failed(Cause.MEMORY));
-        assertEquals(20, backoff.failed(Cause.MEMORY));
-        assertEquals(0, backoff.failed(Cause.CONNECTION));
+        assertEquals(0, backoff.onFailure(Cause.CONNECTION));
+        assertEquals(10, backoff.onFailure(Cause.MEMORY));
+        assertEquals(20, backoff.onFailure(Cause.MEMORY));
+        assertEquals(0, backoff.onFailure(Cause.CONNECTION));
         for (int k = 0; k < 10; k++) {
-            assertTrue(backoff.failed(Cause.OTHER) <= 200);
+            assertTrue(backoff.onFailure(Cause.OTHER) <= 200);
         }
-        assertEquals(400, backoff.failed(Cause.DESCRIPTORS));
-        assertEquals(500, backoff.failed(Cause.DESCRIPTORS));
-        assertEquals(500, backoff.failed(Cause.DESCRIPTORS));
-        backoff.succeeded();
-        assertEquals(10, backoff.failed(Cause.DESCRIPTORS));
+        assertEquals(400, backoff.onFailure(Cause.DESCRIPTORS));
+        assertEquals(500, backoff.onFailure(Cause.DESCRIPTORS));
+        assertEquals(500, backoff.onFailure(Cause.DESCRIPTORS));
+        backoff.onSuccess();
+        assertEquals(10, backoff.onFailure(Cause.DESCRIPTORS));
     }
 
     @Example
--- a/src/test/java/reedspring/core/policy/QueryLifecycleTest.java
+++ b/src/test/java/reedspring/core/policy/QueryLifecycleTest.java
@@ -30,7 +30,7 @@
     @Example
     void eachFactThatForbidsSendingIsTheVerdict() {
         QueryLifecycle query = query(Effect.READ_ONLY);
-        assertEquals(Verdict.ALLOWED, query.startAttempt());
+        assertEquals(Verdict.ALLOWED, query.startSubmission());
         assertEquals(Verdict.CLIENT_GONE, query.send(new SendFacts(100, 200, 300, false, true)));
         assertEquals(Verdict.DEADLINE_PASSED, query.send(new SendFacts(200, 200, 300, true, true)));
         assertEquals(Verdict.REPEAT_FORGOTTEN, query.send(new SendFacts(100, 200, 99, true, true)));
@@ -44,25 +44,25 @@
     void submissionsAreSequentialAndLimited() {
         QueryLifecycle query = query(Effect.READ_ONLY);
         for (int k = 0; k < 3; k++) {
-            assertEquals(Verdict.ALLOWED, query.startAttempt());
-            assertEquals(Verdict.ATTEMPT_OUT, query.startAttempt());
-            query.attemptEnded(true);
+            assertEquals(Verdict.ALLOWED, query.startSubmission());
+            assertEquals(Verdict.ATTEMPT_OUT, query.startSubmission());
+            query.submissionEnded(true);
         }
-        assertEquals(Verdict.ATTEMPTS_USED_UP, query.startAttempt());
+        assertEquals(Verdict.ATTEMPTS_USED_UP, query.startSubmission());
     }
 
     /** A submission that was withheld or refused proves that nothing ran. */
     @Example
     void aMutatingQueryIsRepeatedOrDeferredOnlyIfItCanNotHaveRun() {
         QueryLifecycle query = query(Effect.MUTATING);
-        query.startAttempt();
+        query.startSubmission();
         assertEquals(Answer.DEFERRED, query.answerIfGivenUp());
-        query.attemptEnded(false);
-        assertEquals(Verdict.ALLOWED, query.startAttempt(), "the first was not sent");
+        query.submissionEnded(false);
+        assertEquals(Verdict.ALLOWED, query.startSubmission(), "the first was not sent");
         query.send(SENDABLE);
         assertEquals(Answer.FAILED, query.answerIfGivenUp());
-        query.attemptEnded(false);
-        assertEquals(Verdict.UNSAFE_REPEAT, query.startAttempt());
+        query.submissionEnded(false);
+        assertEquals(Verdict.UNSAFE_REPEAT, query.startSubmission());
         assertEquals(Verdict.UNSAFE_DEFERRAL, query.answer(Answer.DEFERRED));
         assertEquals(Verdict.ALLOWED, query.answer(Answer.FAILED));
         assertEquals(Verdict.SECOND_ANSWER, query.answer(Answer.SERVED));
@@ -83,7 +83,7 @@
         for (int k = 0; k < 40; k++) {
             switch (random.nextInt(4)) {
                 case 0 -> {
-                    if (query.startAttempt().allowed()) {
+                    if (query.startSubmission().allowed()) {
                         assertFalse(outstanding, "two submissions at once");
                         assertFalse(mayHaveRun && effect == Effect.MUTATING, "an effect twice");
                         assertEquals(0, answers, "a submission after the answer");
@@ -103,7 +103,7 @@
                 }
                 case 2 -> {
                     boolean neverRan = random.nextBoolean();
-                    query.attemptEnded(neverRan);
+                    query.submissionEnded(neverRan);
                     mayHaveRun |= outstanding && sent && !neverRan;
                     outstanding = false;
                     sent = false;
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 import reedspring.api.Event;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 import reedspring.boot.Boot;
 import reedspring.rig.Client;
@@ -79,7 +79,7 @@
     private SubmissionRunner withDecisionHook(SubmissionRunner engines) {
         return new SubmissionRunner() {
             @Override
-            public void listed(Event.Reading reading, List<Host> hosts) {
+            public void listed(Event.ListKind reading, List<Host> hosts) {
                 engines.listed(reading, hosts);
             }
 
@@ -100,7 +100,7 @@
 
     private int startListener(EngineStandIn engine) throws Exception {
         onLoop(() -> {
-            front.listed(Reading.REMEMBERED, List.of(listed("e0", engine, Event.Health.UP)));
+            front.listed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
             return null;
         });
         return ((InetSocketAddress) Startup.server(loop, front, limits).bind("127.0.0.1", 0).sync().channel()
@@ -314,11 +314,11 @@
         EngineStandIn first = engine();
         EngineStandIn second = engine();
         EmbeddedChannel client = onLoop(() -> {
-            front.listed(Reading.REMEMBERED, List.of(listed("e0", first, Event.Health.UP)));
+            front.listed(ListKind.CACHED, List.of(listed("e0", first, Event.Health.UP)));
             EmbeddedChannel channel = new EmbeddedChannel(new ClientConnection(front));
             channel.writeInbound(new RpcDecoder.Call(1, "lookup", Map.of("trace", Client.trace(),
                     "patience", "5000"), Unpooled.copiedBuffer(new byte[5]), null));
-            front.listed(Reading.CHANGES, List.of(listed("e0", first, Event.Health.DRAINING),
+            front.listed(ListKind.CHANGES, List.of(listed("e0", first, Event.Health.DRAINING),
                     listed("e1", second, Event.Health.UP)));
             return channel;
         });
@@ -341,7 +341,7 @@
         List<EngineStandIn.Command> asked = new CopyOnWriteArrayList<>();
         EngineStandIn engine = open(new EngineStandIn(asked::add));
         EmbeddedChannel client = onLoop(() -> {
-            front.listed(Reading.REMEMBERED, List.of(listed("e0", engine, Event.Health.UP)));
+            front.listed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
             EmbeddedChannel channel = new EmbeddedChannel(new ClientConnection(front));
             channel.writeInbound(new RpcDecoder.Call(1, "lookup", Map.of("trace", Client.trace(),
                     "patience", "5000"), Unpooled.copiedBuffer(new byte[5]), null));
--- a/src/test/java/reedspring/spread/SpreadTest.java
+++ b/src/test/java/reedspring/spread/SpreadTest.java
@@ -32,7 +32,7 @@
         return new Deployment(fronts, List.of(new Deployment.ResourceGroup(TICKS_PER_SECOND, 2, 1, 0, 1,
                 Effect.READ_ONLY,
                 Recognised.ALL, 0, false, null, null)), List.of(), Map.of(),
-                new Deployment.Allowed(false, true, false, 3, TICKS_PER_SECOND / 2),
+                new Deployment.Capabilities(false, true, false, 3, TICKS_PER_SECOND / 2),
                 new Deployment.Discovery(false, 0),
                 coldStart, null, 0, 1, 2 * TICKS_PER_SECOND, true);
     }
