--- a/src/main/java/reedspring/net/AcceptGuard.java
+++ b/src/main/java/reedspring/net/AcceptGuard.java
@@ -74,7 +74,7 @@
         }
         if (accepted > before) {
             accepted = 0;
-            front.registersAnew(listener);
+            front.reregister(listener);
         }
     }
 
--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -63,7 +63,7 @@
     }
 
     /** Returns whether part of a message has been received. */
-    boolean midway() {
+    boolean hasPartialMessage() {
         return decoder.hasPartialMessage();
     }
 
@@ -83,14 +83,14 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        front.probe().is("client message");
+        front.stallProbe().is("client message");
         lastUsedAt = front.clock().now();
         if (closing || !ctx.channel().isOpen()) {
             // Read in one go with the message that caused the close, but behind it.
-            if (message instanceof RpcDecoder.Call call && call.body() != null) {
+            if (message instanceof RpcDecoder.Request call && call.body() != null) {
                 call.body().release();
             }
-        } else if (message instanceof RpcDecoder.Call call) {
+        } else if (message instanceof RpcDecoder.Request call) {
             handleRequest(call);
         } else if (message instanceof RpcDecoder.Refused refused) {
             turnAway(refused.id());
@@ -103,7 +103,7 @@
         }
     }
 
-    private void handleRequest(RpcDecoder.Call call) {
+    private void handleRequest(RpcDecoder.Request call) {
         try {
             if (openQueries.containsKey(call.id())) {
                 // An answer under this id could belong to either request, so neither may get rows.
@@ -113,7 +113,7 @@
             } else if (call.method().equals("heartbeat")) {
                 markUsed();
                 writeAnswer(RpcWriter.heartbeat(context.alloc(), call.id(), front.isReady()));
-            } else if (front.kept() != null && (call.method().equals("page")
+            } else if (front.keptAnswers() != null && (call.method().equals("page")
                     || call.method().equals("release"))) {
                 handleKeptAnswerRequest(call);
             } else if (openQueries.size() + unsentAnswers >= front.limits().clientQueries) {
@@ -135,18 +135,18 @@
     }
 
     /** Handles a request to read a page of a kept answer, or to release it. */
-    private void handleKeptAnswerRequest(RpcDecoder.Call call) {
+    private void handleKeptAnswerRequest(RpcDecoder.Request call) {
         if (pageReads.contains(call.id())) {
             closeForReusedId(call.id(), "the id is open already");
         } else if (call.method().equals("release")) {
             markUsed();
-            front.kept().release(this, call.id(), call.fields());
+            front.keptAnswers().release(this, call.id(), call.fields());
         } else if (pageReads.size() >= front.limits().clientQueries) {
             turnAway(call.id());
         } else {
             markUsed();
             pageReads.add(call.id());
-            front.kept().requestPage(this, call.id(), call.fields());
+            front.keptAnswers().requestPage(this, call.id(), call.fields());
         }
     }
 
@@ -155,7 +155,7 @@
         if (pageReads.remove(id) && context.channel().isActive()) {
             markUsed();
             int length = text.readableBytes();
-            ByteBuf message = RpcWriter.rows(context.alloc(), id, List.of(text), "sheet",
+            ByteBuf message = RpcWriter.result(context.alloc(), id, List.of(text), "sheet",
                     Integer.toString(page));
             text.release();
             writeAnswer(message, length, null);
@@ -197,16 +197,16 @@
             // Both requests have this id, and the error above is the one answer under it.
             front.clientLeft(openQuery, false);
         }
-        shut(CloseReason.NUMBER_USED_TWICE);
+        closeGracefully(CloseReason.NUMBER_USED_TWICE);
     }
 
     /** Returns whether the client reads its answers: the write buffer is below its limit. */
-    boolean reads() {
+    boolean isWritable() {
         return context.channel().isWritable();
     }
 
     void sendRows(OpenQuery q, List<ByteBuf> pages) {
-        if (front.full() && !reads()) {
+        if (front.isOverHeldLimit() && !isWritable()) {
             // The client still gets an answer, but a small one.
             sendKill(q, "results wait unread");
             return;
@@ -214,7 +214,7 @@
         openQueries.remove(q.messageId);
         markUsed();
         int length = pages.stream().mapToInt(ByteBuf::readableBytes).sum();
-        writeAnswer(RpcWriter.rows(context.alloc(), q.messageId, pages), length, q);
+        writeAnswer(RpcWriter.result(context.alloc(), q.messageId, pages), length, q);
     }
 
     /** Sends the first page of a kept answer, with the handle under which the others are requested. */
@@ -222,7 +222,7 @@
         openQueries.remove(q.messageId);
         markUsed();
         ByteBuf first = s.pages[0];
-        writeAnswer(RpcWriter.rows(context.alloc(), q.messageId, List.of(first), "sheets",
+        writeAnswer(RpcWriter.result(context.alloc(), q.messageId, List.of(first), "sheets",
                 Integer.toString(s.sheets), "handle", s.handle, "kept", Long.toString(s.keptForMs)),
                 first.readableBytes(), q);
     }
@@ -273,13 +273,13 @@
      */
     private void writeAnswer(ByteBuf message, int heldBytes, OpenQuery q) {
         unsentAnswers++;
-        front.hold(heldBytes);
+        front.addHeldBytes(heldBytes);
         if (q != null) {
             front.deadlineMisses().answerDecided(q);
         }
         context.writeAndFlush(message).addListener(done -> {
             unsentAnswers--;
-            front.hold(-heldBytes);
+            front.addHeldBytes(-heldBytes);
             answerFlushed |= heldBytes > 0;
             if (q != null && done.isSuccess()) {
                 front.deadlineMisses().answerWritten(q);
@@ -305,14 +305,14 @@
     private void markUsed() {
         everUsed = true;
         lastUsedAt = front.clock().now();
-        front.roster().markUsed(this);
+        front.clientConnections().markUsed(this);
     }
 
     boolean isIdleSince(long time) {
-        return openQueries.isEmpty() && lastUsedAt < time && !unsent();
+        return openQueries.isEmpty() && lastUsedAt < time && !hasPendingBytes();
     }
 
-    boolean unsent() {
+    boolean hasPendingBytes() {
         return pendingBytes() > 0;
     }
 
@@ -327,7 +327,7 @@
         boolean outputStalled = pendingBytes() > 0 && pendingBytes() >= lastPendingBytes && !answerFlushed;
         boolean missedInput = !closing && socketReads.findsUntold(connection, front.clock().now());
         if (missedInput || outputStalled && SocketReads.sendsUntold(connection)) {
-            front.registersAnew(connection);
+            front.reregister(connection);
         }
     }
 
@@ -345,15 +345,15 @@
             close(CloseReason.NOT_READING);
         } else if (isIdleSince(now - front.limits().clientIdle * 10L)) {
             // There may be a request in the socket, not yet read.
-            if (there() && isIdleSince(now - front.limits().clientIdle * 10L)) {
-                shut(CloseReason.IDLE);
+            if (readAndCheckOpen() && isIdleSince(now - front.limits().clientIdle * 10L)) {
+                closeGracefully(CloseReason.IDLE);
             }
         } else if (!everUsed && ++unusedTicks > front.limits().silentTicks) {
             front.log().line("client connection closed, no valid request received", "");
-            shut(CloseReason.NOTHING_OF_USE);
+            closeGracefully(CloseReason.NOTHING_OF_USE);
         } else if (isMessageOverdue()) {
             front.log().line("client connection closed, message incomplete for too long", "");
-            shut(CloseReason.UNFINISHED_MESSAGE);
+            closeGracefully(CloseReason.UNFINISHED_MESSAGE);
         }
     }
 
@@ -364,7 +364,7 @@
      */
     private boolean isMessageOverdue() {
         boolean partial = decoder.hasPartialMessage() && decoder.messageCount() == lastMessageCount
-                && reads();
+                && isWritable();
         boolean stalled = partial && socketReads.bytes() == lastByteCount;
         lastMessageCount = decoder.messageCount();
         lastByteCount = socketReads.bytes();
@@ -394,7 +394,7 @@
      * lose answers in flight. Requests read after the shutdown can't be answered, so they must not be sent to
      * an engine; the client sees the end of the stream and retries elsewhere.
      */
-    void shut(CloseReason reason) {
+    void closeGracefully(CloseReason reason) {
         if (closing) {
             return;
         }
@@ -404,7 +404,7 @@
         decoder.discardInput();
         answerOpenWork();
         releaseQueries();
-        front.roster().addLingering(this);
+        front.clientConnections().addLingering(this);
         lastPendingBytes = Long.MAX_VALUE;
         lastProgressAt = front.clock().now();
         scheduleLingerCheck();
@@ -441,9 +441,9 @@
         List.copyOf(openQueries.values()).forEach(front::answerBeforeClose);
     }
 
-    /** Leaves the roster and ends the remaining queries unanswered. */
+    /** Removes itself from the client connections and ends the remaining queries unanswered. */
     private void releaseQueries() {
-        front.roster().remove(this);
+        front.clientConnections().remove(this);
         List<OpenQuery> abandoned = new ArrayList<>(openQueries.values());
         openQueries.clear();
         pageReads.clear();
@@ -454,7 +454,7 @@
      * Reads the socket to its end and returns whether the connection is still open. After a stall of the loop
      * a query, its revoke and the close may all wait in the socket, and one selector wake-up reads only part.
      */
-    boolean there() {
+    boolean readAndCheckOpen() {
         Channel connection = context.channel();
         if (!closing) {
             socketReads.readAll(connection);
@@ -478,7 +478,7 @@
         }
         closing = true;
         releaseQueries();
-        front.roster().removeLingering(this);
+        front.clientConnections().removeLingering(this);
         front.timers().cancel(lingerTimer);
     }
 
@@ -499,8 +499,8 @@
             connectionLost = true;
             close();
         } else {
-            shut(cause instanceof DecoderException && cause.getCause() == null ? CloseReason.BROKEN_FRAMING
-                    : CloseReason.FAULT);
+            closeGracefully(cause instanceof DecoderException && cause.getCause() == null
+                    ? CloseReason.BROKEN_FRAMING : CloseReason.FAULT);
         }
     }
 }
--- a/src/main/java/reedspring/net/ClientRoster.java
+++ b/src/main/java/reedspring/net/ClientConnections.java
@@ -6,7 +6,7 @@
 import java.util.stream.Stream;
 
 /** The client connections, in the order in which they are closed to make room for another. */
-final class ClientRoster {
+final class ClientConnections {
     private final Front front;
     private final Limits limits;
     /** Connections without a valid request yet, in order of arrival. */
@@ -14,37 +14,37 @@
     /** The other open connections, least recently used first. */
     private final Set<ClientConnection> usedConnections = new LinkedHashSet<>();
     /** Connections whose output is shut down, in the order of the shutdowns. */
-    private final Set<ClientConnection> lingering = new LinkedHashSet<>();
-    private long accepted;
+    private final Set<ClientConnection> lingeringConnections = new LinkedHashSet<>();
+    private long acceptedCount;
 
-    ClientRoster(Front front, Limits limits) {
+    ClientConnections(Front front, Limits limits) {
         this.front = front;
         this.limits = limits;
     }
 
     /** Returns how many connections were accepted since the start, including refused ones. */
-    long accepted() {
-        return accepted;
+    long acceptedCount() {
+        return acceptedCount;
     }
 
     /** Returns the connections that are open in both directions. */
-    List<ClientConnection> open() {
+    List<ClientConnection> openConnections() {
         return Stream.concat(unusedConnections.stream(), usedConnections.stream()).toList();
     }
 
     /** Returns the connections whose output is shut down. */
-    Set<ClientConnection> lingering() {
-        return lingering;
+    Set<ClientConnection> lingeringConnections() {
+        return lingeringConnections;
     }
 
     /** Adds a connection, closing another if the limit is reached; returns false if it must be refused. */
-    boolean came(ClientConnection client) {
-        accepted++;
+    boolean add(ClientConnection client) {
+        acceptedCount++;
         if (unusedConnections.size() + usedConnections.size() >= limits.clientConnections) {
             front.log().line("client connections at their limit", Integer.toString(limits.clientConnections));
             ClientConnection idle = findEvictable();
             if (idle != null) {
-                idle.shut(CloseReason.NO_ROOM);
+                idle.closeGracefully(CloseReason.NO_ROOM);
             } else if (unusedConnections.size() + usedConnections.size() >= limits.clientConnections) {
                 front.counters().add(CloseReason.NO_ROOM);
                 return false;
@@ -56,17 +56,17 @@
 
     /** Adds a connection whose output is shut down and whose further input is discarded. */
     void addLingering(ClientConnection client) {
-        if (lingering.size() >= limits.lingering && !front.leaves()) {
+        if (lingeringConnections.size() >= limits.lingering && !front.isLeaving()) {
             // Each holds a descriptor; many closes at once must not use up those for engines and the journal.
-            ClientConnection oldest = lingering.iterator().next();
-            lingering.remove(oldest);
+            ClientConnection oldest = lingeringConnections.iterator().next();
+            lingeringConnections.remove(oldest);
             oldest.close();
         }
-        lingering.add(client);
+        lingeringConnections.add(client);
     }
 
     void removeLingering(ClientConnection client) {
-        lingering.remove(client);
+        lingeringConnections.remove(client);
     }
 
     /**
@@ -85,7 +85,7 @@
         }
         long now = front.clock().now();
         for (ClientConnection client : List.copyOf(usedConnections)) {
-            if (client.isIdleSince(now) && !client.midway() && !mustBeKept(client)) {
+            if (client.isIdleSince(now) && !client.hasPartialMessage() && !mustBeKept(client)) {
                 return client;
             }
         }
@@ -98,7 +98,8 @@
      * socket, and closing it would lose that request.
      */
     private static boolean mustBeKept(ClientConnection client) {
-        return !client.there() || client.hasOpenWork() || client.midway() || client.unsent();
+        return !client.readAndCheckOpen() || client.hasOpenWork() || client.hasPartialMessage()
+                || client.hasPendingBytes();
     }
 
     /** Moves a connection that had a valid request or an answer to the end of the closing order. */
--- a/src/main/java/reedspring/net/DeadlineMisses.java
+++ b/src/main/java/reedspring/net/DeadlineMisses.java
@@ -81,8 +81,8 @@
         log.remark(event, String.format(Locale.ROOT, "%s: %s by %d ms; of %d ms: sent %s, heard %s, "
                         + "decided %s, ended %d; %d submissions, loop behind %d ms; %s", event, q.trace,
                 (now - q.deadline) / 10, (q.deadline - q.arrivedAt) / 10,
-                millisSinceArrival(q, q.firstSentAt), millisSinceArrival(q, q.heardAt),
-                millisSinceArrival(q, q.answerDecidedAt), (now - q.arrivedAt) / 10, q.submissions,
+                millisSinceArrival(q, q.firstSentAt), millisSinceArrival(q, q.firstReplyAt),
+                millisSinceArrival(q, q.answerDecidedAt), (now - q.arrivedAt) / 10, q.submissionCount,
                 q.loopDelay / 10, q.history.describe()));
     }
 
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -89,11 +89,11 @@
             closeReason = "not connected within " + limits.connectTimeout + " ms";
             Front.close(channel);
         });
-        front.dialled(connecting, future -> {
+        front.onDialComplete(connecting, future -> {
             front.timers().cancel(connectTimer);
             if (future.isSuccess()) {
                 connected = true;
-                openSubmissions.values().forEach(front::departs);
+                openSubmissions.values().forEach(front::queueForSending);
             } else {
                 closeSubmissions(Outcome.UNREACHABLE, "engine unreachable",
                         future.cause() instanceof ClosedChannelException
@@ -143,7 +143,7 @@
             lastReceivedAt = front.clock().now();
         }
         if (connected) {
-            front.departs(s);
+            front.queueForSending(s);
         }
     }
 
@@ -192,7 +192,7 @@
         long remainingMs = Math.max(1, (s.timeoutAt - lastUsedAt) / 10);
         String fields = "lane=" + q.group + ",ttl=" + remainingMs
                 + (q.priority >= 0 ? ",urgency=" + q.priority : "")
-                + (q.mark != null ? ",dedupe=" + q.mark : "");
+                + (q.repeatToken != null ? ",dedupe=" + q.repeatToken : "");
         if (!writeCommand(q.statement, "fetch", q.trace, fields)) {
             return false;
         }
@@ -275,7 +275,7 @@
     private void recoverMissedReadiness() {
         if (!openSubmissions.isEmpty() && socketReads.findsUntold(channel, front.clock().now())
                 || SocketReads.sendsUntold(channel)) {
-            front.registersAnew(channel);
+            front.reregister(channel);
         }
     }
 
@@ -340,7 +340,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        front.probe().is("engine answer");
+        front.stallProbe().is("engine answer");
         AnswerDecoder.Answer answer = (AnswerDecoder.Answer) message;
         try {
             if (!ctx.channel().isOpen()) {
@@ -351,11 +351,11 @@
             probeSentAt = -1;
             Submission s = openSubmissions.get(answer.id());
             if (s != null) {
-                s.query.heardAt = lastReceivedAt;
+                s.query.firstReplyAt = lastReceivedAt;
             }
             boolean late = lateTraces.contains(answer.id());
             if (answer.fields().get("rep") != null) {
-                front.reported(engine, answer.fields().get("rep"));
+                front.loadReported(engine, answer.fields().get("rep"));
             }
             if (s == null && FINAL_ANSWER_KINDS.contains(answer.word())
                     && runningTraces.remove(answer.id())) {
@@ -369,7 +369,7 @@
                 case "moot" -> closeByAnswer(s, Outcome.NOT_SENT);
                 case "news" -> {
                     if (s != null && "done".equals(answer.fields().get("why"))) {
-                        front.progress(s, numericField(answer, "val", 0));
+                        front.reportProgress(s, numericField(answer, "val", 0));
                     }
                 }
                 case "well" -> {
@@ -390,7 +390,7 @@
                 openSubmissions.remove(s.query.trace, s);
                 addBounded(lateTraces, s.query.trace);
             }
-            front.closed(s, outcome);
+            front.submissionEnded(s, outcome);
         }
     }
 
@@ -401,7 +401,7 @@
 
     private void onData(Submission s, AnswerDecoder.Answer answer, boolean late) {
         double pageCount = numericField(answer, "sheets", 1);
-        boolean spoolable = s != null && s.pages == null && s.query.paged && pageCount > 1
+        boolean spoolable = s != null && s.pages == null && s.query.wantsPages && pageCount > 1
                 && pageCount == Math.rint(pageCount)
                 && pageCount <= Integer.MAX_VALUE;
         if (!(pageCount >= 1 && (spoolable || pageCount <= limits.pages))) {
@@ -416,13 +416,13 @@
         }
         s.sheets = (int) pageCount;
         s.missing = s.sheets;
-        front.seenEnd(s);
+        front.recordEnd(s);
         s.work = Math.round(Math.max(0, numericField(answer, "toil", 0)) * 10);
         if (spoolable && !s.query.answered()) {
             s.pages = new ByteBuf[1];
             s.receivedPages = new BitSet();
             storePage(s, 0, answer.body());
-            front.kept().begin(s);
+            front.keptAnswers().offerAnswer(s);
             return;
         }
         s.pages = new ByteBuf[s.sheets];
@@ -432,12 +432,12 @@
         }
         if (s.query.answered()) {
             // The query has been answered already: the other pages are not needed, but the run counts.
-            front.closed(s, Outcome.FINISHED);
+            front.submissionEnded(s, Outcome.FINISHED);
             return;
         }
-        if (s.pages.length > 1 && front.full() && !s.query.client.reads()) {
+        if (s.pages.length > 1 && front.isOverHeldLimit() && !s.query.client.isWritable()) {
             front.log().line("result discarded, answer buffers at their limit", engine);
-            front.closed(s, Outcome.FINISHED);
+            front.submissionEnded(s, Outcome.FINISHED);
             return;
         }
         for (int k = 1; k < s.pages.length; k++) {
@@ -461,7 +461,7 @@
                 }
                 s.receivedPages.set((int) pageIndex);
                 s.missing--;
-                front.kept().came(s, (int) pageIndex, answer.body());
+                front.keptAnswers().pageReceived(s, (int) pageIndex, answer.body());
             }
             return;
         }
@@ -477,15 +477,15 @@
         }
         s.pages[pageIndex] = page.retain();
         s.bytes += page.readableBytes();
-        front.hold(page.readableBytes());
+        front.addHeldBytes(page.readableBytes());
         if (s.receivedPages != null) {
             s.receivedPages.set(pageIndex);
             s.missing--;
         } else if (s.bytes > limits.answerBytes) {
             front.log().line("engine result exceeds the size limit", engine);
-            front.closed(s, Outcome.ERROR);
+            front.submissionEnded(s, Outcome.ERROR);
         } else if (--s.missing == 0) {
-            front.closed(s, Outcome.FINISHED);
+            front.submissionEnded(s, Outcome.FINISHED);
         }
     }
 
@@ -527,8 +527,8 @@
             front.log().line(logText, engine + " " + detail);
         }
         for (Submission s : List.copyOf(openSubmissions.values())) {
-            front.closed(s, s.written ? Outcome.BROKEN : outcome == Outcome.BROKEN ? Outcome.UNREACHABLE
-                    : outcome);
+            front.submissionEnded(s, s.written ? Outcome.BROKEN : outcome == Outcome.BROKEN
+                    ? Outcome.UNREACHABLE : outcome);
         }
     }
 }
--- a/src/main/java/reedspring/net/Engines.java
+++ b/src/main/java/reedspring/net/Engines.java
@@ -83,7 +83,7 @@
     public void send(Id.Engine engine, Submission s) {
         EnginePool pool = pools.get(engine);
         if (pool == null) {
-            front.closed(s, Event.Outcome.UNREACHABLE);
+            front.submissionEnded(s, Event.Outcome.UNREACHABLE);
             return;
         }
         List<EngineConnection> usable = pool.connections.stream().filter(c -> c.accepts(s)).toList();
@@ -100,7 +100,7 @@
         if (leastLoaded == null && !(belowEngineLimit && makeRoom())) {
             front.log().line("engine connections at their limit", engine.address());
             if (usable.isEmpty()) {
-                front.closed(s, Event.Outcome.UNREACHABLE);
+                front.submissionEnded(s, Event.Outcome.UNREACHABLE);
             } else {
                 usable.get(0).send(s);
             }
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -43,7 +43,7 @@
     private final Log log;
     private final Turns turns;
     private final Counters counters = new Counters();
-    private final StallProbe probe;
+    private final StallProbe stallProbe;
     private final Timers timers;
     private final DeadlineMisses deadlineMisses;
     private final SubmissionRunner engines;
@@ -56,14 +56,14 @@
     private Runnable journalReader = () -> { };
     private Runnable listenerCloser = () -> { };
     private AcceptGuard acceptGuard;
-    private KeptAnswers kept;
+    private KeptAnswers keptAnswers;
     private long journalReadAt;
     private final Map<Id.Query, OpenQuery> queriesById = new LinkedHashMap<>();
     private final Map<Long, OpenQuery> queriesByTrace = new HashMap<>();
     private final RecentIds recentTraces;
-    private final ClientRoster roster;
+    private final ClientConnections clientConnections;
     private boolean deciding;
-    private boolean listed;
+    private boolean enginesListed;
     private boolean leaving;
     private long leavingDeadline = Long.MAX_VALUE;
     private long lastQueryId;
@@ -83,11 +83,11 @@
         this.clock = new Clock();
         this.log = log;
         this.turns = turns;
-        this.probe = new StallProbe(log, limits.stoodStill);
-        turns.watchedBy(probe);
-        this.timers = new Timers(loop, turns, clock, log, limits, probe);
+        this.stallProbe = new StallProbe(log, limits.stoodStill);
+        turns.watchedBy(stallProbe);
+        this.timers = new Timers(loop, turns, clock, log, limits, stallProbe);
         this.deadlineMisses = new DeadlineMisses(limits, clock, timers, log);
-        this.roster = new ClientRoster(this, limits);
+        this.clientConnections = new ClientConnections(this, limits);
         this.recentTraces = new RecentIds(limits.recentTraces);
         this.engines = runner.apply(this);
         this.nextLogSummaryAt = clock.now() + limits.logEvery * 10L;
@@ -109,16 +109,16 @@
         return turns;
     }
 
-    ClientRoster roster() {
-        return roster;
+    ClientConnections clientConnections() {
+        return clientConnections;
     }
 
     Counters counters() {
         return counters;
     }
 
-    StallProbe probe() {
-        return probe;
+    StallProbe stallProbe() {
+        return stallProbe;
     }
 
     Timers timers() {
@@ -134,12 +134,12 @@
     }
 
     /** Returns the on-disk store of answers, or null if the spool is off. */
-    KeptAnswers kept() {
-        return kept;
+    KeptAnswers keptAnswers() {
+        return keptAnswers;
     }
 
-    void keepsAnswers(KeptAnswers answers) {
-        kept = answers;
+    void setKeptAnswers(KeptAnswers answers) {
+        keptAnswers = answers;
     }
 
     EventLoop loop() {
@@ -151,7 +151,7 @@
      * available, Netty completes the future on another thread, with a channel that was never opened and is
      * therefore never closed.
      */
-    void dialled(ChannelFuture dial, Consumer<ChannelFuture> action) {
+    void onDialComplete(ChannelFuture dial, Consumer<ChannelFuture> action) {
         dial.addListener(done -> {
             if (loop.inEventLoop()) {
                 action.accept(dial);
@@ -169,26 +169,26 @@
     }
 
     /** Returns whether a graceful shutdown has begun. */
-    boolean leaves() {
+    boolean isLeaving() {
         return leaving;
     }
 
     /** Returns whether the front has an engine list and is not shutting down. */
     boolean isReady() {
-        return listed && !leaving;
+        return enginesListed && !leaving;
     }
 
     // ---- engine list from the journal
 
-    void listed(Event.ListKind reading, List<Host> hosts) {
+    void enginesListed(Event.ListKind reading, List<Host> hosts) {
         engines.listed(reading, hosts);
-        listed = true;
+        enginesListed = true;
         engineEvents.add(new Event.EnginesListed(reading, hosts.stream().map(Host::listing).toList()));
         processEvents();
     }
 
     /** Sets the reader that drains the journal's socket; it may find nothing to read. */
-    void newsFrom(Runnable reader) {
+    void setJournalReader(Runnable reader) {
         journalReader = reader;
     }
 
@@ -212,7 +212,7 @@
      *
      * @return the query, for {@link #startDecisions}, or null if the request was refused and answered here
      */
-    OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Call call, long arrivedAt) {
+    OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Request call, long arrivedAt) {
         QueryRequest request = QueryRequest.of(call, boot, limits);
         OpenQuery sameTraceQuery = queriesByTrace.get(request.traceId());
         String fault = request.fault() != null ? request.fault() : findTraceReuse(request);
@@ -239,16 +239,16 @@
         queriesById.put(q.id, q);
         queriesByTrace.put(q.traceId, q);
         recentTraces.add(q.traceId);
-        hold(q.statement.readableBytes());
+        addHeldBytes(q.statement.readableBytes());
         q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
-        q.taken = new Event.Taken(q.id, request.group(), request.tenant(),
+        q.takenEvent = new Event.Taken(q.id, request.group(), request.tenant(),
                 StatementScanner.findDataSet(q.statement), Times.nearest(request.estimateMs()),
                 request.needMb(), q.deadline, null);
         return q;
     }
 
     /** Records the trace of a request that is turned away; its client must retry under a new one. */
-    void recordTurnedAway(RpcDecoder.Call call) {
+    void recordTurnedAway(RpcDecoder.Request call) {
         QueryRequest request = QueryRequest.of(call, boot, limits);
         counters.add(RequestRefusal.NO_ROOM);
         if (request.fault() == null) {
@@ -273,7 +273,7 @@
         return null;
     }
 
-    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Call call, QueryRequest request,
+    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Request call, QueryRequest request,
                              long arrivedAt) {
         Deployment.ResourceGroup resourceGroup = boot.deployment().groups().get(request.group().index());
         OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, request,
@@ -281,8 +281,8 @@
                 new QueryLifecycle(resourceGroup, boot.deployment().capabilities().maxSubmissions()));
         q.arrivedAt = arrivedAt;
         q.history.add(Step.TAKEN, null, arrivedAt);
-        q.paged = kept != null && "1".equals(call.fields().get("pages"));
-        if (q.paged) {
+        q.wantsPages = keptAnswers != null && "1".equals(call.fields().get("pages"));
+        if (q.wantsPages) {
             q.tenant = call.fields().getOrDefault("customer", "");
             q.repeatable = resourceGroup.effect() == Deployment.Effect.READ_ONLY
                     || resourceGroup.effect() == Deployment.Effect.TOKENED
@@ -293,7 +293,7 @@
 
     /** Hands a new query to the decisions. */
     void startDecisions(OpenQuery q) {
-        enqueueEvent(q.taken);
+        enqueueEvent(q.takenEvent);
     }
 
     /** Ends a query whose client disconnected or revoked it, or whose connection the front closed. */
@@ -388,13 +388,13 @@
         if (q.answered() && q.submission == null && queriesById.remove(q.id) != null) {
             timers.cancel(q.expiryTimer);
             queriesByTrace.remove(q.traceId, q);
-            hold(-q.statement.readableBytes());
+            addHeldBytes(-q.statement.readableBytes());
             q.statement.release();
         }
     }
 
     /** Adds {@code bytes}, which may be negative, to the total of bytes held, which is limited. */
-    void hold(long bytes) {
+    void addHeldBytes(long bytes) {
         heldBytes += bytes;
     }
 
@@ -405,7 +405,7 @@
     }
 
     /** Returns whether the bytes held exceed their limit. */
-    boolean full() {
+    boolean isOverHeldLimit() {
         return heldBytes > limits.heldBytes;
     }
 
@@ -426,14 +426,14 @@
             while (!engineEvents.isEmpty() || !events.isEmpty()) {
                 readJournal();
                 Event next = engineEvents.isEmpty() ? events.poll() : engineEvents.poll();
-                long startedAt = probe.decides();
+                long startedAt = stallProbe.decides();
                 try {
                     control.onEvent(clock.now(), next, this::performSafely);
                 } catch (RuntimeException | Error e) {
                     // The expiry timer still answers the query concerned.
                     log.fault("a decision failed", e);
                 }
-                probe.decided(startedAt, next);
+                stallProbe.decided(startedAt, next);
             }
         } finally {
             deciding = false;
@@ -467,7 +467,7 @@
                 if (s.connection != null) {
                     s.connection.cancel(s);
                 }
-                closed(s, s.written ? Outcome.CANCELLED : Outcome.NOT_SENT);
+                submissionEnded(s, s.written ? Outcome.CANCELLED : Outcome.NOT_SENT);
             }
         } else if (action instanceof Action.Defer defer) {
             OpenQuery q = findUnanswered(defer.query());
@@ -510,7 +510,7 @@
             // The query may have ended since the event under decision, when its client left. Without this end
             // the decisions would count the submission's threads as in use forever.
             recordRefusal(verdict, q);
-            closed(s, Outcome.NOT_SENT);
+            submissionEnded(s, Outcome.NOT_SENT);
             return;
         }
         q.history.add(Step.ATTEMPT_DECIDED, null, now);
@@ -520,11 +520,11 @@
 
     /** Ends a submission at its timeout; one that was never written cannot have run. */
     private void endTimedOut(Submission s) {
-        closed(s, s.written ? Outcome.TIMED_OUT : Outcome.NOT_SENT);
+        submissionEnded(s, s.written ? Outcome.TIMED_OUT : Outcome.NOT_SENT);
     }
 
     /** Queues a submission whose connection is up; it is sent after this loop iteration's reads. */
-    void departs(Submission s) {
+    void queueForSending(Submission s) {
         sendQueue.add(s);
         if (sendQueue.size() == 1) {
             loop.execute(this::sendQueued);
@@ -551,7 +551,7 @@
         readJournal();
         // The client may have closed or revoked during a stall of the loop: its close or revoke then waits
         // behind the request in the socket, as the selector has not reported it yet.
-        boolean clientConnected = s.query.client == null || s.over || s.query.client.there();
+        boolean clientConnected = s.query.client == null || s.over || s.query.client.readAndCheckOpen();
         if (s.over || s.connection == null) {
             return;
         }
@@ -570,7 +570,7 @@
         } else if (s.connection.depart(s)) {
             s.query.history.add(Step.SENT, null, clock.now());
         } else {
-            closed(s, Outcome.NOT_SENT);
+            submissionEnded(s, Outcome.NOT_SENT);
         }
     }
 
@@ -588,12 +588,12 @@
                 // Routine cases, such as a client that has left, are only counted.
             }
         }
-        closed(s, verdict == Verdict.ENGINE_NOT_READY || verdict == Verdict.REPEAT_FORGOTTEN
+        submissionEnded(s, verdict == Verdict.ENGINE_NOT_READY || verdict == Verdict.REPEAT_FORGOTTEN
                 ? Outcome.WITHHELD : Outcome.NOT_SENT);
     }
 
     /** Ends a submission with its outcome; later replies of the engine for it are ignored. */
-    void closed(Submission s, Outcome observed) {
+    void submissionEnded(Submission s, Outcome observed) {
         if (s.over) {
             return;
         }
@@ -605,8 +605,8 @@
             s.connection.drop(s);
         }
         Outcome outcome = observed;
-        if (kept != null) {
-            kept.submissionEnded(s);
+        if (keptAnswers != null) {
+            keptAnswers.submissionEnded(s);
         }
         q.lifecycle.submissionEnded(outcome.neverRan());
         q.history.add(Step.ATTEMPT_ENDED, outcome, clock.now());
@@ -615,10 +615,10 @@
             serve(q, s);
         }
         boolean queryOver = q.answered();
-        hold(-s.bytes);
+        addHeldBytes(-s.bytes);
         s.release();
         if (s.endedAt == 0) {
-            seenEnd(s);
+            recordEnd(s);
         }
         long duration = s.endedAt - s.sentAt;
         events.add(new Event.Closed(q.id, s.number, outcome, queryOver, duration,
@@ -628,19 +628,19 @@
     }
 
     /** Records the end time, and how much earlier the end may have been if the loop was stalled. */
-    void seenEnd(Submission s) {
+    void recordEnd(Submission s) {
         s.endedAt = clock.now();
         s.unseen = s.endedAt - timers.earliestArrival();
     }
 
     /** Reports the share of a submission's work that its engine says is done. */
-    void progress(Submission s, double share) {
+    void reportProgress(Submission s, double share) {
         enqueueEvent(new Event.ShareDone(s.query.id, s.number, share,
                 clock.now() - timers.earliestArrival()));
     }
 
     /** Parses an engine's load report, such as {@code inflight:7;util:0.61}; invalid fields are ignored. */
-    void reported(String engine, String report) {
+    void loadReported(String engine, String report) {
         Load load = Load.UNKNOWN;
         for (String part : report.split(";", limits.reportFields + 1)) {
             int colon = part.indexOf(':');
@@ -665,18 +665,18 @@
         if (acceptGuard != null) {
             acceptGuard.tick();
         }
-        if (kept != null) {
-            kept.tick();
+        if (keptAnswers != null) {
+            keptAnswers.tick();
         }
-        roster.open().forEach(client -> client.tick(now));
+        clientConnections.openConnections().forEach(client -> client.tick(now));
         if (now >= nextLogSummaryAt) {
             nextLogSummaryAt = now + limits.logEvery * 10L;
-            tellSums();
+            logSummary();
         }
     }
 
     /** Logs the suppressed line counts and the counters; also called at the end of a shutdown. */
-    void tellSums() {
+    void logSummary() {
         log.sum();
         logCounts();
     }
@@ -716,31 +716,31 @@
                 s.end = timers.at(s.timeoutAt, () -> endTimedOut(s));
             }
         }
-        new Shutdown(this, limits, roster, now).begin(onAllAnswered);
+        new Shutdown(this, limits, clientConnections, now).begin(onAllAnswered);
     }
 
     boolean allAnswered() {
         return queriesById.values().stream().allMatch(OpenQuery::answered);
     }
 
-    void listensBehind(AcceptGuard guard) {
+    void setAcceptGuard(AcceptGuard guard) {
         acceptGuard = guard;
     }
 
     /** Registers a socket anew after the selector missed its readiness to read or write. */
-    void registersAnew(Channel socket) {
+    void reregister(Channel socket) {
         log.line("socket not known to the selector, registered anew", String.valueOf(socket.remoteAddress()));
         counters.add(SocketFault.NOT_REGISTERED);
         Registration.renew(socket, turns);
     }
 
     /** Returns whether connections may be waiting in the accept queue while accepting is paused. */
-    boolean mayHoldUnaccepted() {
+    boolean mayHaveUnacceptedConnections() {
         return acceptGuard != null && acceptGuard.rests();
     }
 
     /** Sets the action that closes the listener, run with the end of the last connections. */
-    void atTheEnd(Runnable closer) {
+    void setListenerCloser(Runnable closer) {
         listenerCloser = closer;
     }
 
--- a/src/main/java/reedspring/net/Installation.java
+++ b/src/main/java/reedspring/net/Installation.java
@@ -22,7 +22,7 @@
     public void install(Front front, EventLoop loop, String name) throws BootException {
         if (settings.spool() != null) {
             try {
-                front.keepsAnswers(new KeptAnswers(front, loop, name, settings.spool()));
+                front.setKeptAnswers(new KeptAnswers(front, loop, name, settings.spool()));
             } catch (IOException e) {
                 throw new BootException("[spool] folder", String.valueOf(e.getMessage()));
             }
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -85,7 +85,7 @@
         }
         position = Json.whole(configured, "pos", 0);
         if (position > 0 || !held.isEmpty()) {
-            front.listed(ListKind.CACHED, List.copyOf(held.values()));
+            front.enginesListed(ListKind.CACHED, List.copyOf(held.values()));
         }
     }
 
@@ -154,7 +154,7 @@
             }).connect(serviceAddress);
             channel = connecting.channel();
             channel.closeFuture().addListener(closed -> onClosed());
-            front.dialled(connecting, this::onDialled);
+            front.onDialComplete(connecting, this::onDialled);
             scheduleSilenceCheck();
         }
 
@@ -230,7 +230,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            front.probe().is("journal event");
+            front.stallProbe().is("journal event");
             if (!subscriptions.contains(this) || !channel.isOpen()) {
                 // Closed after a change of address or after an event that could not be used.
                 ReferenceCountUtil.release(message);
@@ -332,7 +332,7 @@
         position = eventNumber;
         if (list != null) {
             applyList(complete, hosts);
-            front.listed(complete ? ListKind.COMPLETE : ListKind.CHANGES, List.copyOf(hosts.values()));
+            front.enginesListed(complete ? ListKind.COMPLETE : ListKind.CHANGES, List.copyOf(hosts.values()));
         }
         return true;
     }
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -99,14 +99,14 @@
     // ---- engines
 
     /** Offers an answer to the spool once its engine has sent the page count and the first page. */
-    void begin(Submission s) {
+    void offerAnswer(Submission s) {
         OpenQuery q = s.query;
         submissionsByQuery.put(q.id, s);
         deliver(new Word.Began(q.id, q.tenant, q.repeatable, s.sheets));
     }
 
     /** Passes a page of an answer to the spool, if it keeps that answer. */
-    void came(Submission s, int page, ByteBuf text) {
+    void pageReceived(Submission s, int page, ByteBuf text) {
         if (s.kept == null) {
             return;
         }
@@ -168,7 +168,7 @@
             Submission s = submissionsByQuery.get(take.query());
             s.kept = take.answer();
             submissionsByAnswer.put(take.answer(), s);
-            came(s, 0, s.pages[0]);
+            pageReceived(s, 0, s.pages[0]);
         } else if (step instanceof Step.Refuse refuse) {
             front.log().line("answer not kept", refuse.why());
             endNotKept(submissionsByQuery.get(refuse.query()));
@@ -196,7 +196,7 @@
     private void endNotKept(Submission s) {
         if (s != null) {
             s.kept = null;
-            front.closed(s, Outcome.NOT_KEPT);
+            front.submissionEnded(s, Outcome.NOT_KEPT);
         }
     }
 
@@ -207,7 +207,7 @@
             OpenQuery q = s.query;
             s.handle = handles.write(new Handle(kept.answer(), q.tenant, q.repeatable, kept.expiresAt()));
             s.keptForMs = (kept.expiresAt() - front.clock().now()) / 10;
-            front.closed(s, Outcome.FINISHED);
+            front.submissionEnded(s, Outcome.FINISHED);
         }
     }
 
--- a/src/main/java/reedspring/net/OpenQuery.java
+++ b/src/main/java/reedspring/net/OpenQuery.java
@@ -17,15 +17,15 @@
     /** By when it must be answered: when its client stops waiting, or earlier during a shutdown. */
     long deadline;
     /** The event that starts its decisions. */
-    Event.Taken taken;
+    Event.Taken takenEvent;
     /** The client's token by which engines recognise a repeat, or null; each submission carries it. */
-    final String mark;
+    final String repeatToken;
     /** Whether its client takes the answer in pages; the two fields below are set for the spool only then. */
-    boolean paged;
+    boolean wantsPages;
     boolean repeatable;
     String tenant;
     int priority = -1;
-    int submissions;
+    int submissionCount;
     /** The running submission, or null. */
     Submission submission;
     /** Checks which steps the query's state allows. */
@@ -35,14 +35,14 @@
     /** Times for the log line of a late answer; 0 if the step was not reached. */
     long arrivedAt;
     long firstSentAt;
-    long heardAt;
+    long firstReplyAt;
     long answerDecidedAt;
     /** How long input may have waited unread when the answer was decided. */
     long loopDelay;
 
     /** Retains the request's body, until {@link Front} releases the query. */
-    OpenQuery(Id.Query id, RpcDecoder.Call call, ClientConnection client, QueryRequest request, long deadline,
-              QueryLifecycle lifecycle) {
+    OpenQuery(Id.Query id, RpcDecoder.Request call, ClientConnection client, QueryRequest request,
+              long deadline, QueryLifecycle lifecycle) {
         this.id = id;
         this.messageId = call.id();
         this.client = client;
@@ -50,7 +50,7 @@
         this.traceId = request.traceId();
         this.group = call.method();
         this.statement = call.body().retain();
-        this.mark = request.repeatToken();
+        this.repeatToken = request.repeatToken();
         this.deadline = deadline;
         this.lifecycle = lifecycle;
     }
--- a/src/main/java/reedspring/net/QueryRequest.java
+++ b/src/main/java/reedspring/net/QueryRequest.java
@@ -25,7 +25,7 @@
     private static final int HEX_RADIX = 16;
 
     /** Parses a request's fields and validates them against the deployment and the limits. */
-    static QueryRequest of(RpcDecoder.Call call, Boot boot, Limits limits) {
+    static QueryRequest of(RpcDecoder.Request call, Boot boot, Limits limits) {
         Map<String, String> fields = call.fields();
         String trace = fields.get("trace");
         boolean validTrace = trace != null && TRACE_PATTERN.matcher(trace).matches();
@@ -44,7 +44,7 @@
     }
 
     /** Returns why the request is invalid, or null; for a request with a valid trace. */
-    private String findFault(RpcDecoder.Call call, Boot boot, Limits limits) {
+    private String findFault(RpcDecoder.Request call, Boot boot, Limits limits) {
         if (group == null) {
             return "no such method";
         }
--- a/src/main/java/reedspring/net/RpcDecoder.java
+++ b/src/main/java/reedspring/net/RpcDecoder.java
@@ -55,7 +55,7 @@
      * @param body the statement, which the receiver must release; may be null
      * @param fault why the request is invalid, or null
      */
-    record Call(long id, String method, Map<String, String> fields, ByteBuf body, String fault) {
+    record Request(long id, String method, Map<String, String> fields, ByteBuf body, String fault) {
     }
 
     /** A notification; {@code id} is its first parameter, or -1. */
@@ -256,15 +256,15 @@
         }
         String method = size == REQUEST_ELEMENTS ? readText(in) : null;
         if (method == null) {
-            return new Call(id, "", Map.of(), null, "a request is [0, id, method, params]");
+            return new Request(id, "", Map.of(), null, "a request is [0, id, method, params]");
         }
         int params = readArrayHeader(in);
         Map<String, String> fields = params >= 1 ? readFields(in) : null;
         if (fields == null) {
-            return new Call(id, method, Map.of(), null, "no map of fields, text to text");
+            return new Request(id, method, Map.of(), null, "no map of fields, text to text");
         }
         ByteBuf body = params >= 2 ? readBinary(in) : null;
-        return new Call(id, method, fields, body == null ? null : body.retain(), null);
+        return new Request(id, method, fields, body == null ? null : body.retain(), null);
     }
 
     private int readArrayHeader(ByteBuf in) {
--- a/src/main/java/reedspring/net/RpcWriter.java
+++ b/src/main/java/reedspring/net/RpcWriter.java
@@ -18,7 +18,7 @@
      * @param pages the rows, which are retained and stay the caller's
      * @param fields up to 15 fields, name and value in turn
      */
-    static ByteBuf rows(ByteBufAllocator allocator, long id, List<ByteBuf> pages, String... fields) {
+    static ByteBuf result(ByteBufAllocator allocator, long id, List<ByteBuf> pages, String... fields) {
         int length = pages.stream().mapToInt(ByteBuf::readableBytes).sum();
         CompositeByteBuf message = allocator.compositeBuffer(pages.size() + 2);
         try {
--- a/src/main/java/reedspring/net/Shutdown.java
+++ b/src/main/java/reedspring/net/Shutdown.java
@@ -14,13 +14,13 @@
 
     private final Front front;
     private final Limits limits;
-    private final ClientRoster roster;
+    private final ClientConnections roster;
     private final long startedAt;
     private Runnable onComplete;
     private long acceptedAtLastCheck;
 
     /** @param startedAt when the front was told to stop */
-    Shutdown(Front front, Limits limits, ClientRoster roster, long startedAt) {
+    Shutdown(Front front, Limits limits, ClientConnections roster, long startedAt) {
         this.front = front;
         this.limits = limits;
         this.roster = roster;
@@ -35,27 +35,27 @@
 
     private void check() {
         long elapsedTicks = front.clock().now() - startedAt;
-        boolean acceptedMore = roster.accepted() != acceptedAtLastCheck;
-        acceptedAtLastCheck = roster.accepted();
+        boolean acceptedMore = roster.acceptedCount() != acceptedAtLastCheck;
+        acceptedAtLastCheck = roster.acceptedCount();
         if (elapsedTicks < limits.leavingQuiet * 10L
                 || !front.allAnswered() && elapsedTicks < limits.leavingLongest * 10L
                 + limits.lastResort * 20L) {
             checkLater();
             return;
         }
-        List<ClientConnection> open = roster.open();
+        List<ClientConnection> open = roster.openConnections();
         // Requests can arrive only on connections that are still open. What is unread there is accepted.
-        open.forEach(ClientConnection::there);
+        open.forEach(ClientConnection::readAndCheckOpen);
         // One loop turn accepts a limited number of connections and reads only part of a long request. After
         // a stall of the loop the others still wait in the accept queue, which closing the listener resets.
-        boolean mayHoldMore = acceptedMore || front.mayHoldUnaccepted()
-                || open.stream().anyMatch(ClientConnection::midway);
+        boolean mayHoldMore = acceptedMore || front.mayHaveUnacceptedConnections()
+                || open.stream().anyMatch(ClientConnection::hasPartialMessage);
         if ((mayHoldMore || !front.allAnswered()) && elapsedTicks < limits.leavingLongest * 10L) {
             checkLater();
             return;
         }
         front.closeListener();
-        roster.open().forEach(client -> client.shut(CloseReason.FRONT_ENDS));
+        roster.openConnections().forEach(client -> client.closeGracefully(CloseReason.FRONT_ENDS));
         awaitClients(front.clock().now(), startedAt + limits.leavingGone * 10L);
     }
 
@@ -69,11 +69,11 @@
      */
     private void awaitClients(long lingerStart, long deadline) {
         long now = front.clock().now();
-        boolean allRead = roster.lingering().stream().noneMatch(ClientConnection::unsent);
-        if (roster.lingering().isEmpty() || now >= deadline || now >= lingerStart + limits.leavingFlush * 10L
-                && allRead) {
+        boolean allRead = roster.lingeringConnections().stream().noneMatch(ClientConnection::hasPendingBytes);
+        if (roster.lingeringConnections().isEmpty() || now >= deadline
+                || now >= lingerStart + limits.leavingFlush * 10L && allRead) {
             front.log().once("left", "");
-            front.tellSums();
+            front.logSummary();
             onComplete.run();
         } else {
             front.timers().in(LINGER_CHECK_INTERVAL_TICKS, () -> awaitClients(lingerStart, deadline));
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -94,9 +94,9 @@
             }
             front.log().once("front " + configuration.name() + " serves on",
                     configuration.listen().toString());
-            loop.execute(() -> front.atTheEnd(listener::close));
+            loop.execute(() -> front.setListenerCloser(listener::close));
             listener.closeFuture().addListener(closed -> {
-                if (!front.leaves()) {
+                if (!front.isLeaving()) {
                     termination.fail(EXIT_UNAVAILABLE);
                 }
             });
@@ -217,7 +217,7 @@
             throws BootException {
         Journal journal = new Journal(loop, front, configuration.limits(), configuration.journal(),
                 ~configuration.seed());
-        front.newsFrom(journal::readNow);
+        front.setJournalReader(journal::readNow);
         journal.known(configuration.known());
         journal.follow();
         return journal;
@@ -256,7 +256,7 @@
 
     /** Closes the spool and writes the last log lines, for a limited time, as the log may be blocked. */
     private static void closeFront(Front front, Reloads reloads) throws InterruptedException {
-        if (front.kept() != null && !front.kept().close(SPOOL_CLOSE_TIMEOUT_MS)) {
+        if (front.keptAnswers() != null && !front.keptAnswers().close(SPOOL_CLOSE_TIMEOUT_MS)) {
             front.log().once("spool not closed,", "its unfinished segments are checked at the next start");
         }
         reloads.finish(Startup::closeLog, LOG_CLOSE_TIMEOUT_MS);
@@ -273,7 +273,7 @@
     /** The listener, configured but not bound. */
     static ServerBootstrap server(EventLoopGroup group, Front front, Limits limits) {
         AcceptGuard guard = new AcceptGuard(front);
-        front.listensBehind(guard);
+        front.setAcceptGuard(guard);
         return new ServerBootstrap().group(group).channelFactory(FrontServerSocketChannel::new).handler(guard)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_RCVBUF, limits.socketBytes)
@@ -290,7 +290,7 @@
                         channel.pipeline().addLast(client.socketReads(),
                                 new FlushConsolidationHandler(limits.flushes, true), client.decoder(),
                                         client);
-                        if (!front.roster().came(client)) {
+                        if (!front.clientConnections().add(client)) {
                             channel.close();
                         }
                     }
--- a/src/main/java/reedspring/net/Submission.java
+++ b/src/main/java/reedspring/net/Submission.java
@@ -41,7 +41,7 @@
 
     Submission(OpenQuery query, long sentAt, long timeoutAt, long departBy) {
         this.query = query;
-        this.number = new Id.Submission(query.submissions++);
+        this.number = new Id.Submission(query.submissionCount++);
         this.sentAt = sentAt;
         this.timeoutAt = timeoutAt;
         this.departBy = departBy;
--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -148,7 +148,7 @@
         fields.put("need_mb", String.format(Locale.ROOT, "%.0f", draw.needMb()));
         EmbeddedChannel client = clients.get((int) (traces % CLIENTS));
         asked++;
-        client.writeInbound(new RpcDecoder.Call(traces, draw.group(), fields, Unpooled.copiedBuffer(
+        client.writeInbound(new RpcDecoder.Request(traces, draw.group(), fields, Unpooled.copiedBuffer(
                 "select 1 from sales_" + traces % 9 + ".orders", StandardCharsets.US_ASCII), null));
         take(client);
     }
@@ -197,7 +197,7 @@
             firstSentAt.putIfAbsent(engine.address(), at);
             s.written = true;
             s.sentAt = of.clock().now();
-            long work = s.query.taken.estimate();
+            long work = s.query.takenEvent.estimate();
             long took = Math.max(1, Math.round(work * Math.exp(SCATTER * chance.nextGaussian())));
             of.timers().in(took, () -> ends(engine, s, work));
         }
@@ -208,11 +208,11 @@
             }
             s.pages = new ByteBuf[0];
             s.work = work;
-            of.seenEnd(s);
-            of.reported(engine.address(), String.format(Locale.ROOT, "util:%.2f;x0:%.2f;queue:0",
+            of.recordEnd(s);
+            of.loadReported(engine.address(), String.format(Locale.ROOT, "util:%.2f;x0:%.2f;queue:0",
                     0.5 * chance.nextDouble(), 0.5 * chance.nextDouble()));
             finished++;
-            of.closed(s, Event.Outcome.FINISHED);
+            of.submissionEnded(s, Event.Outcome.FINISHED);
         }
 
         @Override
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -86,7 +86,8 @@
                                 trouble(What.GIVE_UP, 1, 6, 1)), "past its time|no answer|told to take"),
                 new Mutant("arrival-is-now", "net/ClientConnection.java", "socketReads.earliestArrival()",
                         "front.clock().now()", day("arrival-is-now", stop), "told to take"),
-                new Mutant("no-look-for-closes", "net/Front.java", "s.over || s.query.client.there();",
+                new Mutant("no-look-for-closes", "net/Front.java",
+                        "s.over || s.query.client.readAndCheckOpen();",
                         "s.over || s != null;", day("no-look-for-closes", trouble(What.GIVE_UP, 1, 6, 1),
                                 stop, trouble(What.BAD_CLIENTS, 1, 6, 1)), "after its client had gone"),
                 new Mutant("drains-unheard", List.of(
@@ -135,7 +136,7 @@
                                 + "        q.trace, \"lane=\" + q.group + \",ttl=\" + remainingMs));\n",
                         day("sends-twice"), "two submissions at once|a change was run"),
                 new Mutant("leaves-at-once", "net/Front.java",
-                        "        new Shutdown(this, limits, roster, now).begin(onAllAnswered);\n",
+                        "        new Shutdown(this, limits, clientConnections, now).begin(onAllAnswered);\n",
                         "        onAllAnswered.run();\n", day("leaves-at-once",
                                 trouble(What.LEAVE, 2, 3.7, 1), trouble(What.SLOW, 1, 6, 4)),
                                         "lost unanswered"),
--- a/src/test/java/reedspring/net/CodecTest.java
+++ b/src/test/java/reedspring/net/CodecTest.java
@@ -79,7 +79,7 @@
         List<Object> decoded = feedFragments(channel, concatenate(sent), random);
         assertEquals(40, decoded.size());
         for (int id = 0; id < 20; id++) {
-            RpcDecoder.Call call = (RpcDecoder.Call) decoded.get(2 * id);
+            RpcDecoder.Request call = (RpcDecoder.Request) decoded.get(2 * id);
             assertEquals((long) id, call.id());
             assertEquals("lookup", call.method());
             assertEquals(Integer.toString(id), call.fields().get("patience"));
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -369,7 +369,7 @@
         loop.submit(() -> {
             Front localFront = new Front(loop, turns, boot, limits, new Log(limits, null), 1);
             OpenQuery q = new OpenQuery(new Id.Query(1),
-                    new RpcDecoder.Call(1, "lookup", Map.of(), Unpooled.EMPTY_BUFFER, null), null,
+                    new RpcDecoder.Request(1, "lookup", Map.of(), Unpooled.EMPTY_BUFFER, null), null,
                     new QueryRequest(null, null, 0, 0, 0, Client.trace(), 1, null, null),
                     localFront.clock().now() + 50_000, new QueryLifecycle(
                             new Deployment.ResourceGroup(10_000, 2, 1, 0, 1, Deployment.Effect.READ_ONLY,
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -100,7 +100,7 @@
 
     private int startListener(EngineStandIn engine) throws Exception {
         onLoop(() -> {
-            front.listed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
+            front.enginesListed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
             return null;
         });
         return ((InetSocketAddress) Startup.server(loop, front, limits).bind("127.0.0.1", 0).sync().channel()
@@ -236,7 +236,7 @@
         onLoop(() -> {
             Journal follower = new Journal(loop, front, limits,
                     FrontConfiguration.address(journal.address(), "journal"), 1);
-            front.newsFrom(follower::readNow);
+            front.setJournalReader(follower::readNow);
             follower.follow();
             return null;
         });
@@ -314,11 +314,11 @@
         EngineStandIn first = engine();
         EngineStandIn second = engine();
         EmbeddedChannel client = onLoop(() -> {
-            front.listed(ListKind.CACHED, List.of(listed("e0", first, Event.Health.UP)));
+            front.enginesListed(ListKind.CACHED, List.of(listed("e0", first, Event.Health.UP)));
             EmbeddedChannel channel = new EmbeddedChannel(new ClientConnection(front));
-            channel.writeInbound(new RpcDecoder.Call(1, "lookup", Map.of("trace", Client.trace(),
+            channel.writeInbound(new RpcDecoder.Request(1, "lookup", Map.of("trace", Client.trace(),
                     "patience", "5000"), Unpooled.copiedBuffer(new byte[5]), null));
-            front.listed(ListKind.CHANGES, List.of(listed("e0", first, Event.Health.DRAINING),
+            front.enginesListed(ListKind.CHANGES, List.of(listed("e0", first, Event.Health.DRAINING),
                     listed("e1", second, Event.Health.UP)));
             return channel;
         });
@@ -341,9 +341,9 @@
         List<EngineStandIn.Command> asked = new CopyOnWriteArrayList<>();
         EngineStandIn engine = open(new EngineStandIn(asked::add));
         EmbeddedChannel client = onLoop(() -> {
-            front.listed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
+            front.enginesListed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
             EmbeddedChannel channel = new EmbeddedChannel(new ClientConnection(front));
-            channel.writeInbound(new RpcDecoder.Call(1, "lookup", Map.of("trace", Client.trace(),
+            channel.writeInbound(new RpcDecoder.Request(1, "lookup", Map.of("trace", Client.trace(),
                     "patience", "5000"), Unpooled.copiedBuffer(new byte[5]), null));
             return channel;
         });
--- a/src/test/java/reedspring/net/WholeMessagesTest.java
+++ b/src/test/java/reedspring/net/WholeMessagesTest.java
@@ -97,17 +97,17 @@
     @Example
     void resultIsEncodedWholeOrNotAtAllAndPagesAreNotReleased() {
         List<ByteBuf> pages = List.of(bytes("a\tb\tc\n"), bytes("d\te\tf\n"));
-        String expected = ByteBufUtil.hexDump(RpcWriter.rows(UnpooledByteBufAllocator.DEFAULT, 7, pages));
+        String expected = ByteBufUtil.hexDump(RpcWriter.result(UnpooledByteBufAllocator.DEFAULT, 7, pages));
         int failed = 0;
         for (int failingAllocation = 0; failingAllocation < ALLOCATIONS; failingAllocation++) {
             FailingAllocator allocator = new FailingAllocator(failingAllocation);
             int refCountBefore = pages.get(0).refCnt();
             if (failingAllocation < 2) {
-                assertThrows(OutOfMemoryError.class, () -> RpcWriter.rows(allocator, 7, pages));
+                assertThrows(OutOfMemoryError.class, () -> RpcWriter.result(allocator, 7, pages));
                 failed++;
                 assertEquals(refCountBefore, pages.get(0).refCnt());
             } else {
-                ByteBuf result = RpcWriter.rows(allocator, 7, pages);
+                ByteBuf result = RpcWriter.result(allocator, 7, pages);
                 assertEquals(expected, ByteBufUtil.hexDump(result));
                 result.release();
             }
