--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -15,8 +15,8 @@
 import reedspring.api.Event;
 import reedspring.api.Id;
 import reedspring.api.Load;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 import reedspring.boot.Times;
 
 /** Serves the simulator's line protocol for any number of independent fronts in one process. */
@@ -29,7 +29,7 @@
     private long lineNumber;
     private long now;
 
-    private record Front(Boot boot, Control control) {
+    private record Front(DeploymentReader boot, Control control) {
     }
 
     public Adapter(InputStream input, OutputStream output) {
@@ -98,10 +98,10 @@
     private void attach(Line line) throws WireException {
         int instance = (int) line.integer("i");
         long seed = line.integer("seed");
-        Boot boot;
+        DeploymentReader boot;
         try {
-            boot = new Boot(line.allFields());
-        } catch (BootException e) {
+            boot = new DeploymentReader(line.allFields());
+        } catch (InvalidConfigurationException e) {
             throw line.malformed(e.field(), e.reason());
         }
         List<Action> actions = new ArrayList<>();
@@ -160,7 +160,7 @@
         };
     }
 
-    private Event parseEvent(Boot boot, Line line) throws WireException {
+    private Event parseEvent(DeploymentReader boot, Line line) throws WireException {
         return switch (line.name()) {
             case "WORK_ITEM" -> parseTaken(boot, line);
             case "ROSTER_CHANGE" -> parseListed(line);
@@ -180,7 +180,7 @@
         return new Id.Submission((int) line.integer("copy"));
     }
 
-    private static Event parseTaken(Boot boot, Line line) throws WireException {
+    private static Event parseTaken(DeploymentReader boot, Line line) throws WireException {
         String groupName = line.text("profile");
         Id.Group group = boot.group(groupName);
         if (group == null) {
@@ -190,7 +190,7 @@
         String set = line.find("dataset");
         return new Event.Taken(parseQuery(line), group, boot.tenant(line.find("realm")),
                 set == null ? Id.DataSet.UNKNOWN : new Id.DataSet((long) line.number("dataset", set)),
-                Times.nearest(Math.max(0, line.number("planCostMs", 0))),
+                Times.nearestTicks(Math.max(0, line.number("planCostMs", 0))),
                 Math.max(0, line.number("needMb", 0)),
                 Times.ticksAt(line.number("expiresMs")), key == null ? null : new Id.OrderKey(key));
     }
@@ -220,7 +220,7 @@
     }
 
     /** The load report in a line, or null. Its values are in the order of {@code report.columns}. */
-    private static Event parseReport(Boot boot, Line line) throws WireException {
+    private static Event parseReport(DeploymentReader boot, Line line) throws WireException {
         String gauge = line.find("gauge");
         String engine = line.find("engine");
         if (gauge == null || engine == null) {
@@ -252,7 +252,7 @@
         // The bits above the lowest 12 of the note hold the work in milliseconds.
         long noteValue = note == null || outcome != Event.Outcome.FINISHED ? 0 : line.integer("note", note);
         return new Event.Closed(parseQuery(line), parseSubmission(line), outcome, line.flag("settled"),
-                Times.nearest(line.number("elapsedMs", 0)), 0, (noteValue >> 12) * 10);
+                Times.nearestTicks(line.number("elapsedMs", 0)), 0, (noteValue >> 12) * 10);
     }
 
     private void write(int instance, List<Action> actions) {
--- a/src/main/java/reedspring/boot/Boot.java
+++ b/src/main/java/reedspring/boot/DeploymentReader.java
@@ -16,13 +16,13 @@
  * Reads a front's start-up settings into a {@link Deployment}. The input is path=value pairs: the simulator
  * sends them, and a configuration file is flattened to them, so that both use the same code.
  */
-public final class Boot {
+public final class DeploymentReader {
     private final Map<String, String> pairs;
     private final List<String> groupNames = new ArrayList<>();
     private final List<String> tenantNames = new ArrayList<>();
     private final Deployment deployment;
 
-    public Boot(Map<String, String> pairs) throws BootException {
+    public DeploymentReader(Map<String, String> pairs) throws InvalidConfigurationException {
         this.pairs = pairs;
         this.deployment = read();
     }
@@ -43,7 +43,7 @@
         return index < 0 ? Id.Tenant.NOBODY : new Id.Tenant(index);
     }
 
-    private Deployment read() throws BootException {
+    private Deployment read() throws InvalidConfigurationException {
         return new Deployment(Math.max(1, (int) number("fleetSize", 1)), readGroups(), readTenants(),
                 readMachines(),
                 new Deployment.Capabilities(flag("allowed.cancel"), flag("allowed.retryAfter"),
@@ -59,14 +59,14 @@
                 pairs.containsKey("rules.repeatRatio") || pairs.containsKey("rules.freeResends")
                         ? new Deployment.ResubmissionBudget((int) number("rules.freeResends", 0),
                                 number("rules.repeatRatio", 0),
-                                Times.nearest(number("rules.resendSpanMs", 0)))
+                                Times.nearestTicks(number("rules.resendSpanMs", 0)))
                         : null,
                 Times.ticksAtLeast(number("rules.keyQuietMs", 0)), number("overShareWorth", 1),
-                Times.nearest(number("familyInfo.tellsEveryMs", 0)),
+                Times.nearestTicks(number("familyInfo.tellsEveryMs", 0)),
                 "page".equals(pairs.get("familyInfo.overbooked")));
     }
 
-    private List<Deployment.ResourceGroup> readGroups() throws BootException {
+    private List<Deployment.ResourceGroup> readGroups() throws InvalidConfigurationException {
         List<Deployment.ResourceGroup> groups = new ArrayList<>();
         String[] parallelism = list("familyInfo.parallelism");
         int count = (int) number("classes.count", 0);
@@ -74,7 +74,7 @@
             String prefix = "classes." + k + ".";
             String name = pairs.getOrDefault(prefix + "name", "");
             groupNames.add(name);
-            groups.add(new Deployment.ResourceGroup(Times.nearest(number(prefix + "aimMs", 0)),
+            groups.add(new Deployment.ResourceGroup(Times.nearestTicks(number(prefix + "aimMs", 0)),
                     number(prefix + "aimStretch", 0), number(prefix + "points", 1),
                     number(prefix + "lateWorth", 0),
                     k >= parallelism.length ? 1
@@ -95,7 +95,7 @@
         return groups;
     }
 
-    private List<Deployment.Tenant> readTenants() throws BootException {
+    private List<Deployment.Tenant> readTenants() throws InvalidConfigurationException {
         List<Deployment.Tenant> tenants = new ArrayList<>();
         int count = (int) number("customers.count", 0);
         for (int k = 0; k < count; k++) {
@@ -107,7 +107,7 @@
         return tenants;
     }
 
-    private Map<Id.Kind, Deployment.Machine> readMachines() throws BootException {
+    private Map<Id.Kind, Deployment.Machine> readMachines() throws InvalidConfigurationException {
         Map<Id.Kind, Deployment.Machine> machines = new HashMap<>();
         String[] kinds = list("kinds");
         String[] cores = list("familyInfo.sizeCores");
@@ -121,7 +121,7 @@
     }
 
     /** The longest queue timeout of all groups in milliseconds, 0 if none is set. */
-    public double longestTimeout() throws BootException {
+    public double longestTimeout() throws InvalidConfigurationException {
         double longest = 0;
         for (int k = 0; k < groupNames.size(); k++) {
             longest = Math.max(longest, number("classes." + k + ".deadlineMs", 0));
@@ -135,12 +135,12 @@
     }
 
     /** A numeric setting that is not part of the {@link Deployment}. */
-    public double number(String key, double defaultValue) throws BootException {
+    public double number(String key, double defaultValue) throws InvalidConfigurationException {
         String value = pairs.get(key);
         return value == null ? defaultValue : parse(key, value);
     }
 
-    private static double parse(String key, String value) throws BootException {
+    private static double parse(String key, String value) throws InvalidConfigurationException {
         try {
             double parsed = Double.parseDouble(value);
             if (!Double.isInfinite(parsed) && !Double.isNaN(parsed)) {
@@ -149,7 +149,7 @@
         } catch (NumberFormatException e) {
             // reported below, like infinity and NaN
         }
-        throw new BootException(key, "'" + value + "' is not a number");
+        throw new InvalidConfigurationException(key, "'" + value + "' is not a number");
     }
 
     private boolean flag(String key) {
--- a/src/main/java/reedspring/boot/BootException.java
+++ b/src/main/java/reedspring/boot/InvalidConfigurationException.java
@@ -1,12 +1,12 @@
 package reedspring.boot;
 
 /** A start-up setting or a list of engines can't be used; the message names the field. */
-public final class BootException extends Exception {
+public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
     private final String field;
     private final String reason;
 
-    public BootException(String field, String reason) {
+    public InvalidConfigurationException(String field, String reason) {
         super(field + ": " + reason);
         this.field = field;
         this.reason = reason;
--- a/src/main/java/reedspring/boot/Times.java
+++ b/src/main/java/reedspring/boot/Times.java
@@ -27,7 +27,7 @@
     }
 
     /** Rounds a span to the nearest tick. */
-    public static long nearest(double ms) {
+    public static long nearestTicks(double ms) {
         return Math.round(ms * TICKS_PER_MS);
     }
 
--- a/src/main/java/reedspring/net/AnswerDecoder.java
+++ b/src/main/java/reedspring/net/AnswerDecoder.java
@@ -43,7 +43,7 @@
     }
 
     /** One complete answer. The receiver releases the body. */
-    record Answer(String id, String word, Map<String, String> fields, ByteBuf body) {
+    record Answer(String id, String kind, Map<String, String> fields, ByteBuf body) {
     }
 
     @Override
--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -223,7 +223,7 @@
         markUsed();
         ByteBuf first = s.pages[0];
         writeAnswer(RpcWriter.result(context.alloc(), q.messageId, List.of(first), "sheets",
-                Integer.toString(s.sheets), "handle", s.handle, "kept", Long.toString(s.keptForMs)),
+                Integer.toString(s.pageCount), "handle", s.handle, "kept", Long.toString(s.keptForMs)),
                 first.readableBytes(), q);
     }
 
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -48,7 +48,7 @@
     /** The late traces whose queries the engine may still be running. */
     private final Set<String> runningTraces = new LinkedHashSet<>();
     private final AnswerDecoder decoder;
-    private final Rows rowValidator;
+    private final RowValidator rowValidator;
     private final SocketReads socketReads = new SocketReads();
     private Channel channel;
     private long decodedAtLastCheck;
@@ -61,8 +61,8 @@
     private long lastReceivedAt;
     private long probeSentAt = -1;
 
-    EngineConnection(Front front, Limits limits, Rows rowValidator, String engine, BooleanSupplier engineUp,
-                     Consumer<EngineConnection> onClosed) {
+    EngineConnection(Front front, Limits limits, RowValidator rowValidator, String engine,
+                     BooleanSupplier engineUp, Consumer<EngineConnection> onClosed) {
         this.front = front;
         this.limits = limits;
         this.rowValidator = rowValidator;
@@ -152,7 +152,7 @@
     }
 
     /** Whether the engine may be sent submissions, by the list of engines as it stands. */
-    boolean departable() {
+    boolean canSend() {
         return !retired && engineUp.getAsBoolean();
     }
 
@@ -162,7 +162,7 @@
      * sent again. A connection that has not carried anything yet is not checked: an engine that closes every
      * new connection counts as unreachable.
      */
-    boolean there() {
+    boolean checkOpen() {
         if (openSubmissions.size() > 1 || !everSent) {
             return true;
         }
@@ -172,7 +172,7 @@
     }
 
     /** Removes a submission that is to be sent on another connection. */
-    void release(Submission s) {
+    void detach(Submission s) {
         openSubmissions.remove(s.query.trace, s);
         s.connection = null;
     }
@@ -183,7 +183,7 @@
      *
      * @return false if there was no memory for the command; no part of it has been written then
      */
-    boolean depart(Submission s) {
+    boolean write(Submission s) {
         OpenQuery q = s.query;
         lastUsedAt = front.clock().now();
         everSent = true;
@@ -219,10 +219,10 @@
     /** Forgets the submission; answers to it that come later are dropped. */
     void drop(Submission s) {
         if (openSubmissions.remove(s.query.trace, s)) {
-            if (s.sheets > 1 && connected) {
+            if (s.pageCount > 1 && connected) {
                 sendCommand("done", s.query.trace);
             }
-            if (s.written && (s.pages == null || s.missing > 0)) {
+            if (s.written && (s.pages == null || s.missingPages > 0)) {
                 addBounded(lateTraces, s.query.trace);
                 if (s.pages == null) {
                     addBounded(runningTraces, s.query.trace);
@@ -357,11 +357,11 @@
             if (answer.fields().get("rep") != null) {
                 front.loadReported(engine, answer.fields().get("rep"));
             }
-            if (s == null && FINAL_ANSWER_KINDS.contains(answer.word())
+            if (s == null && FINAL_ANSWER_KINDS.contains(answer.kind())
                     && runningTraces.remove(answer.id())) {
                 lateTraces.remove(answer.id());
             }
-            switch (answer.word()) {
+            switch (answer.kind()) {
                 case "data" -> onData(s, answer, late);
                 case "page" -> onPage(s, answer);
                 case "full" -> closeByAnswer(s, Outcome.TURNED_AWAY);
@@ -395,7 +395,7 @@
     }
 
     /** Requests a page of a result that goes to the spool. */
-    void more(Submission s, int page) {
+    void requestPage(Submission s, int page) {
         sendCommand("more", s.query.trace, Integer.toString(page));
     }
 
@@ -414,10 +414,10 @@
             }
             return;
         }
-        s.sheets = (int) pageCount;
-        s.missing = s.sheets;
+        s.pageCount = (int) pageCount;
+        s.missingPages = s.pageCount;
         front.recordEnd(s);
-        s.work = Math.round(Math.max(0, numericField(answer, "toil", 0)) * 10);
+        s.workTicks = Math.round(Math.max(0, numericField(answer, "toil", 0)) * 10);
         if (spoolable && !s.query.answered()) {
             s.pages = new ByteBuf[1];
             s.receivedPages = new BitSet();
@@ -425,9 +425,9 @@
             front.keptAnswers().offerAnswer(s);
             return;
         }
-        s.pages = new ByteBuf[s.sheets];
+        s.pages = new ByteBuf[s.pageCount];
         storePage(s, 0, answer.body());
-        if (s.over) {
+        if (s.ended) {
             return;
         }
         if (s.query.answered()) {
@@ -450,7 +450,7 @@
             return;
         }
         double pageIndex = numericField(answer, "sheet", -1);
-        if (s.pages == null || !(pageIndex >= 0 && pageIndex < s.sheets)
+        if (s.pages == null || !(pageIndex >= 0 && pageIndex < s.pageCount)
                 || pageIndex != Math.rint(pageIndex)) {
             throw new CorruptedFrameException("page number outside the result");
         }
@@ -460,7 +460,7 @@
                     throw new CorruptedFrameException("page does not consist of whole rows");
                 }
                 s.receivedPages.set((int) pageIndex);
-                s.missing--;
+                s.missingPages--;
                 front.keptAnswers().pageReceived(s, (int) pageIndex, answer.body());
             }
             return;
@@ -476,15 +476,15 @@
             throw new CorruptedFrameException("page does not consist of whole rows");
         }
         s.pages[pageIndex] = page.retain();
-        s.bytes += page.readableBytes();
+        s.resultBytes += page.readableBytes();
         front.addHeldBytes(page.readableBytes());
         if (s.receivedPages != null) {
             s.receivedPages.set(pageIndex);
-            s.missing--;
-        } else if (s.bytes > limits.answerBytes) {
+            s.missingPages--;
+        } else if (s.resultBytes > limits.answerBytes) {
             front.log().line("engine result exceeds the size limit", engine);
             front.submissionEnded(s, Outcome.ERROR);
-        } else if (--s.missing == 0) {
+        } else if (--s.missingPages == 0) {
             front.submissionEnded(s, Outcome.FINISHED);
         }
     }
--- a/src/main/java/reedspring/net/Engines.java
+++ b/src/main/java/reedspring/net/EngineConnections.java
@@ -15,10 +15,10 @@
 import reedspring.api.Id;
 
 /** Connection pools to all listed engines, with a few connections to each. */
-final class Engines implements SubmissionRunner {
+final class EngineConnections implements SubmissionRunner {
     private final Limits limits;
     private final Front front;
-    private final Rows rowValidator;
+    private final RowValidator rowValidator;
     private final Bootstrap dialer;
     private final Map<Id.Engine, EnginePool> pools = new LinkedHashMap<>();
     /** Pools with at least one connection: bounded by the connection limit, not by the number of engines. */
@@ -38,17 +38,17 @@
         private final List<EngineConnection> connections = new ArrayList<>(0);
     }
 
-    Engines(EventLoop loop, Limits limits, Front front) {
+    EngineConnections(EventLoop loop, Limits limits, Front front) {
         this.limits = limits;
         this.front = front;
-        this.rowValidator = new Rows(limits.pageBytes);
+        this.rowValidator = new RowValidator(limits.pageBytes);
         this.dialer = new Bootstrap().group(loop).channelFactory(FrontSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
                 .option(ChannelOption.TCP_NODELAY, true);
     }
 
     @Override
-    public void listed(Event.ListKind reading, List<Host> hosts) {
+    public void enginesListed(Event.ListKind reading, List<Host> hosts) {
         listCount++;
         for (Host host : hosts) {
             Id.Engine id = host.listing().engine();
--- a/src/main/java/reedspring/net/EventStream.java
+++ b/src/main/java/reedspring/net/EventStream.java
@@ -16,7 +16,7 @@
 
     private final int maxEventBytes;
     private final int progressBytes;
-    private final Reader listener;
+    private final Listener listener;
     /** The data of the current event, followed by the current incomplete line. */
     private byte[] buffer = EMPTY;
     private int dataEnd;
@@ -28,19 +28,19 @@
     /** The size so far of an event that is too long, 0 if the current event is not. */
     private long oversizedBytes;
 
-    interface Reader {
+    interface Listener {
         /** Called for each event with data. The array may be overwritten after the call. */
-        void read(String id, byte[] data, int length);
+        void event(String id, byte[] data, int length);
 
         /** Called for an event that was dropped because it exceeds the maximum size. */
-        void tooLong(String id, long bytes);
+        void eventTooLong(String id, long bytes);
     }
 
     /**
      * @param maxEventBytes maximum size of an event
      * @param progressBytes this many bytes of an incomplete line count as progress, as a whole line does
      */
-    EventStream(int maxEventBytes, int progressBytes, Reader listener) {
+    EventStream(int maxEventBytes, int progressBytes, Listener listener) {
         this.maxEventBytes = maxEventBytes;
         this.progressBytes = progressBytes;
         this.listener = listener;
@@ -114,11 +114,11 @@
         if (oversizedBytes > 0) {
             long bytes = oversizedBytes;
             oversizedBytes = 0;
-            listener.tooLong(id, bytes);
+            listener.eventTooLong(id, bytes);
         } else if (complete) {
             byte[] event = buffer;
             buffer = event.length > MAX_RETAINED_BUFFER_BYTES ? EMPTY : event;
-            listener.read(id, event, size);
+            listener.event(id, event, size);
         }
     }
 
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -18,7 +18,7 @@
 import reedspring.api.Event.Outcome;
 import reedspring.api.Id;
 import reedspring.api.Load;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.boot.Times;
 import reedspring.core.policy.QueryLifecycle;
 import reedspring.core.policy.QueryLifecycle.Answer;
@@ -37,7 +37,7 @@
 final class Front {
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9][0-9.eE+-]{0,31}");
 
-    private final Boot boot;
+    private final DeploymentReader boot;
     private final Limits limits;
     private final Clock clock;
     private final Log log;
@@ -70,12 +70,12 @@
     private long heldBytes;
     private long nextLogSummaryAt;
 
-    Front(EventLoop loop, Turns turns, Boot boot, Limits limits, Log log, long seed) {
-        this(loop, turns, boot, limits, log, seed, front -> new Engines(loop, limits, front));
+    Front(EventLoop loop, Turns turns, DeploymentReader boot, Limits limits, Log log, long seed) {
+        this(loop, turns, boot, limits, log, seed, front -> new EngineConnections(loop, limits, front));
     }
 
     /** @param runner creates the submission runner; must not use the front until the constructor returns */
-    Front(EventLoop loop, Turns turns, Boot boot, Limits limits, Log log, long seed,
+    Front(EventLoop loop, Turns turns, DeploymentReader boot, Limits limits, Log log, long seed,
             Function<Front, SubmissionRunner> runner) {
         this.loop = loop;
         this.boot = boot;
@@ -181,7 +181,7 @@
     // ---- engine list from the journal
 
     void enginesListed(Event.ListKind reading, List<Host> hosts) {
-        engines.listed(reading, hosts);
+        engines.enginesListed(reading, hosts);
         enginesListed = true;
         engineEvents.add(new Event.EnginesListed(reading, hosts.stream().map(Host::listing).toList()));
         processEvents();
@@ -242,7 +242,7 @@
         addHeldBytes(q.statement.readableBytes());
         q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
         q.takenEvent = new Event.Taken(q.id, request.group(), request.tenant(),
-                StatementScanner.findDataSet(q.statement), Times.nearest(request.estimateMs()),
+                StatementScanner.findDataSet(q.statement), Times.nearestTicks(request.estimateMs()),
                 request.needMb(), q.deadline, null);
         return q;
     }
@@ -277,7 +277,7 @@
                              long arrivedAt) {
         Deployment.ResourceGroup resourceGroup = boot.deployment().groups().get(request.group().index());
         OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, request,
-                Math.min(leavingDeadline, arrivedAt + Times.nearest(request.timeoutMs())),
+                Math.min(leavingDeadline, arrivedAt + Times.nearestTicks(request.timeoutMs())),
                 new QueryLifecycle(resourceGroup, boot.deployment().capabilities().maxSubmissions()));
         q.arrivedAt = arrivedAt;
         q.history.add(Step.TAKEN, null, arrivedAt);
@@ -356,7 +356,7 @@
         }
         if (s.handle != null) {
             q.client.sendFirstPage(q, s);
-        } else if (s.missing == 0) {
+        } else if (s.missingPages == 0) {
             q.client.sendRows(q, List.of(s.pages));
         } else {
             q.client.sendKill(q, "no room for the result");
@@ -514,7 +514,7 @@
             return;
         }
         q.history.add(Step.ATTEMPT_DECIDED, null, now);
-        s.end = timers.at(timeoutAt, () -> endTimedOut(s));
+        s.timeoutTimer = timers.at(timeoutAt, () -> endTimedOut(s));
         engines.send(submit.engine(), s);
     }
 
@@ -551,23 +551,23 @@
         readJournal();
         // The client may have closed or revoked during a stall of the loop: its close or revoke then waits
         // behind the request in the socket, as the selector has not reported it yet.
-        boolean clientConnected = s.query.client == null || s.over || s.query.client.readAndCheckOpen();
-        if (s.over || s.connection == null) {
+        boolean clientConnected = s.query.client == null || s.ended || s.query.client.readAndCheckOpen();
+        if (s.ended || s.connection == null) {
             return;
         }
-        if (!s.connection.there()) {
+        if (!s.connection.checkOpen()) {
             // The engine closed the idle connection. Nothing was written, so use another connection.
             Id.Engine engine = new Id.Engine(s.connection.engine());
-            s.connection.release(s);
+            s.connection.detach(s);
             engines.send(engine, s);
             return;
         }
         // Read the clock again: the checks above may have taken time.
-        Verdict verdict = s.query.lifecycle.send(new SendFacts(clock.now(), s.timeoutAt, s.departBy,
-                clientConnected, s.connection.departable()));
+        Verdict verdict = s.query.lifecycle.send(new SendFacts(clock.now(), s.timeoutAt, s.latestSendAt,
+                clientConnected, s.connection.canSend()));
         if (!verdict.allowed()) {
             withhold(s, verdict);
-        } else if (s.connection.depart(s)) {
+        } else if (s.connection.write(s)) {
             s.query.history.add(Step.SENT, null, clock.now());
         } else {
             submissionEnded(s, Outcome.NOT_SENT);
@@ -594,13 +594,13 @@
 
     /** Ends a submission with its outcome; later replies of the engine for it are ignored. */
     void submissionEnded(Submission s, Outcome observed) {
-        if (s.over) {
+        if (s.ended) {
             return;
         }
-        s.over = true;
+        s.ended = true;
         OpenQuery q = s.query;
         q.submission = null;
-        timers.cancel(s.end);
+        timers.cancel(s.timeoutTimer);
         if (s.connection != null) {
             s.connection.drop(s);
         }
@@ -615,14 +615,14 @@
             serve(q, s);
         }
         boolean queryOver = q.answered();
-        addHeldBytes(-s.bytes);
+        addHeldBytes(-s.resultBytes);
         s.release();
         if (s.endedAt == 0) {
             recordEnd(s);
         }
         long duration = s.endedAt - s.sentAt;
         events.add(new Event.Closed(q.id, s.number, outcome, queryOver, duration,
-                Math.min(duration, s.unseen), s.work));
+                Math.min(duration, s.unseenTicks), s.workTicks));
         releaseIfDone(q);
         processEvents();
     }
@@ -630,7 +630,7 @@
     /** Records the end time, and how much earlier the end may have been if the loop was stalled. */
     void recordEnd(Submission s) {
         s.endedAt = clock.now();
-        s.unseen = s.endedAt - timers.earliestArrival();
+        s.unseenTicks = s.endedAt - timers.earliestArrival();
     }
 
     /** Reports the share of a submission's work that its engine says is done. */
@@ -711,9 +711,9 @@
             q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
             if (q.submission != null) {
                 Submission s = q.submission;
-                timers.cancel(s.end);
+                timers.cancel(s.timeoutTimer);
                 s.timeoutAt = Math.min(s.timeoutAt, leavingDeadline);
-                s.end = timers.at(s.timeoutAt, () -> endTimedOut(s));
+                s.timeoutTimer = timers.at(s.timeoutAt, () -> endTimedOut(s));
             }
         }
         new Shutdown(this, limits, clientConnections, now).begin(onAllAnswered);
--- a/src/main/java/reedspring/net/FrontConfiguration.java
+++ b/src/main/java/reedspring/net/FrontConfiguration.java
@@ -8,12 +8,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 
 /** The validated content of a front's configuration file. */
 record FrontConfiguration(String name, InetSocketAddress listen, InetSocketAddress journal, long seed,
-                          Map<?, ?> known, Boot boot, Limits limits) {
+                          Map<?, ?> known, DeploymentReader boot, Limits limits) {
     private static final int MIN_SOCKETS = 64;
     /** The run command of the deployment has the same default: it sizes the heap before the JVM starts. */
     private static final int DEFAULT_MEMORY_MB = 192;
@@ -24,22 +24,25 @@
      * Reads and validates the file.
      *
      * @throws IOException if the file can't be read; a retry may succeed
-     * @throws BootException if its content can't be used; names the field
+     * @throws InvalidConfigurationException if its content can't be used; names the field
      */
-    static FrontConfiguration read(String path) throws IOException, BootException {
+    static FrontConfiguration read(String path) throws IOException, InvalidConfigurationException {
         Map<?, ?> root = readFile(path);
-        Boot boot = new Boot(Json.flat(Json.map(root.get("settings"), "settings")));
+        DeploymentReader boot = new DeploymentReader(Json.toPairs(Json.map(root.get("settings"),
+                "settings")));
         if (boot.deployment().groups().isEmpty()) {
-            throw new BootException("settings.classes", "missing");
+            throw new InvalidConfigurationException("settings.classes", "missing");
         }
         Map<?, ?> limits = Json.map(root.get("limits"), "limits");
-        long sockets = Json.whole(limits, "sockets", 0);
+        long sockets = Json.wholeNumber(limits, "sockets", 0);
         if (sockets < MIN_SOCKETS) {
-            throw new BootException("limits.sockets", "at least " + MIN_SOCKETS + " are needed");
+            throw new InvalidConfigurationException("limits.sockets",
+                    "at least " + MIN_SOCKETS + " are needed");
         }
-        long memoryMb = Json.whole(limits, "memory_mb", DEFAULT_MEMORY_MB);
+        long memoryMb = Json.wholeNumber(limits, "memory_mb", DEFAULT_MEMORY_MB);
         if (memoryMb < MIN_MEMORY_MB) {
-            throw new BootException("limits.memory_mb", "at least " + MIN_MEMORY_MB + " are needed");
+            throw new InvalidConfigurationException("limits.memory_mb",
+                    "at least " + MIN_MEMORY_MB + " are needed");
         }
         return new FrontConfiguration(Json.text(root, "name"), address(Json.text(root, "listen"), "listen"),
                 address(Json.text(root, "journal"), "journal"), parseSeed(Json.text(root, "seed")),
@@ -47,9 +50,9 @@
                 new Limits(boot, (int) Math.min(sockets, Integer.MAX_VALUE), memoryMb));
     }
 
-    private static Map<?, ?> readFile(String path) throws IOException, BootException {
+    private static Map<?, ?> readFile(String path) throws IOException, InvalidConfigurationException {
         if (path == null || path.isEmpty()) {
-            throw new BootException(CONFIG_VARIABLE, "missing");
+            throw new InvalidConfigurationException(CONFIG_VARIABLE, "missing");
         }
         byte[] text = Files.readAllBytes(Path.of(path));
         try {
@@ -61,21 +64,21 @@
     }
 
     /** The error for a file that can't be read or is not JSON. */
-    static BootException unreadableFile(IOException cause) {
-        return new BootException(CONFIG_VARIABLE, "can't be read: "
+    static InvalidConfigurationException unreadableFile(IOException cause) {
+        return new InvalidConfigurationException(CONFIG_VARIABLE, "can't be read: "
                 + String.valueOf(cause.getMessage()).lines().findFirst().orElse(""));
     }
 
-    private static long parseSeed(String text) throws BootException {
+    private static long parseSeed(String text) throws InvalidConfigurationException {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BootException("seed", "'" + text + "' is not a hexadecimal number");
+            throw new InvalidConfigurationException("seed", "'" + text + "' is not a hexadecimal number");
         }
     }
 
     /** Parses a numeric IP address with a port; host names are not resolved. */
-    static InetSocketAddress address(String text, String field) throws BootException {
+    static InetSocketAddress address(String text, String field) throws InvalidConfigurationException {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
@@ -86,6 +89,6 @@
         } catch (NumberFormatException | UnknownHostException e) {
             // falls through to the exception below
         }
-        throw new BootException(field, "'" + text + "' is no address with a port");
+        throw new InvalidConfigurationException(field, "'" + text + "' is no address with a port");
     }
 }
--- a/src/main/java/reedspring/net/HostRow.java
+++ b/src/main/java/reedspring/net/HostRow.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import reedspring.api.Event.Health;
 import reedspring.api.Id;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 
 /** An engine as parsed from a list, before its start time is converted to this process's clock. */
 record HostRow(Id.Engine engine, Id.Kind kind, Id.Zone zone, Id.Cell cell, Health health,
@@ -26,17 +26,17 @@
 
         /** Returns null for rows past the maximum. */
         @Override
-        public HostRow map(Map<?, ?> host) throws BootException {
+        public HostRow map(Map<?, ?> host) throws InvalidConfigurationException {
             if (++rowCount > maxRows) {
                 return null;
             }
             return new HostRow(new Id.Engine(Json.text(host, "host")),
                     kinds.computeIfAbsent(optional(host, "class"), Id.Kind::new),
                     zones.computeIfAbsent(optional(host, "site"), Id.Zone::new),
-                    cells.computeIfAbsent(Json.whole(host, "block", 0), Id.Cell::new),
+                    cells.computeIfAbsent(Json.wholeNumber(host, "block", 0), Id.Cell::new),
                     parseHealth(Json.text(host, "health")),
                     FrontConfiguration.address(Json.text(host, "dial"), "dial"),
-                    Json.whole(host, "born_ms", 0));
+                    Json.wholeNumber(host, "born_ms", 0));
         }
 
         /** The number of rows seen, including those past the maximum. */
@@ -48,12 +48,13 @@
             return host.get(field) instanceof String text ? text : "";
         }
 
-        private static Health parseHealth(String state) throws BootException {
+        private static Health parseHealth(String state) throws InvalidConfigurationException {
             return switch (state) {
                 case "ready" -> Health.UP;
                 case "draining" -> Health.DRAINING;
                 case "gone" -> Health.GONE;
-                default -> throw new BootException("health", "'" + state + "' is not an engine state");
+                default -> throw new InvalidConfigurationException("health",
+                        "'" + state + "' is not an engine state");
             };
         }
     }
--- a/src/main/java/reedspring/net/Installation.java
+++ b/src/main/java/reedspring/net/Installation.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 import reedspring.settings.StandingOrders;
 
 /** Starts the optional features that an installation's settings enable, on the front's loop. */
@@ -19,12 +19,12 @@
     }
 
     @Override
-    public void install(Front front, EventLoop loop, String name) throws BootException {
+    public void install(Front front, EventLoop loop, String name) throws InvalidConfigurationException {
         if (settings.spool() != null) {
             try {
                 front.setKeptAnswers(new KeptAnswers(front, loop, name, settings.spool()));
             } catch (IOException e) {
-                throw new BootException("[spool] folder", String.valueOf(e.getMessage()));
+                throw new InvalidConfigurationException("[spool] folder", String.valueOf(e.getMessage()));
             }
         }
     }
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -30,7 +30,7 @@
 import reedspring.api.Event.Health;
 import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 import reedspring.core.policy.EngineStartTime;
 
 /**
@@ -47,7 +47,7 @@
     private InetSocketAddress serviceAddress;
     private final Bootstrap dialer;
     private final SplittableRandom random;
-    private Map<Id.Engine, Host> held = new LinkedHashMap<>();
+    private Map<Id.Engine, Host> knownHosts = new LinkedHashMap<>();
     /** Open subscriptions, the newest last. There are several only while none of them has sent anything. */
     private final Deque<Subscription> subscriptions = new ArrayDeque<>();
     /** The number of the last event applied. */
@@ -75,7 +75,7 @@
     }
 
     /** Loads the list of engines from the configuration. */
-    void known(Map<?, ?> configured) throws BootException {
+    void loadConfigured(Map<?, ?> configured) throws InvalidConfigurationException {
         for (Object entry : Json.list(configured.get("entries"), "known.entries")) {
             Map<?, ?> event = Json.map(entry, "known.entries");
             if (event.get("hosts") != null) {
@@ -83,27 +83,27 @@
                 applyList(isComplete(list), parseHosts(list, NEVER_RECEIVED));
             }
         }
-        position = Json.whole(configured, "pos", 0);
-        if (position > 0 || !held.isEmpty()) {
-            front.enginesListed(ListKind.CACHED, List.copyOf(held.values()));
+        position = Json.wholeNumber(configured, "pos", 0);
+        if (position > 0 || !knownHosts.isEmpty()) {
+            front.enginesListed(ListKind.CACHED, List.copyOf(knownHosts.values()));
         }
     }
 
     /** Moves to another address of the same journal. Events still arriving from the old one are dropped. */
-    void move(InetSocketAddress address) {
+    void changeAddress(InetSocketAddress address) {
         serviceAddress = address;
         reconnectDelayMs = limits.journalFirstWait;
         List<Subscription> previous = List.copyOf(subscriptions);
         subscriptions.clear();
         previous.forEach(Subscription::close);
-        follow();
+        connect();
     }
 
     /**
      * Opens a subscription. Earlier ones that have not sent anything stay open until one of them does: a
      * service that responds later than this front's timeout would otherwise be dropped on every try.
      */
-    void follow() {
+    void connect() {
         front.timers().cancel(reconnectTimer);
         reconnectTimer = null;
         if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
@@ -119,7 +119,7 @@
         if (reconnectTimer == null) {
             long delay = reconnectDelayMs * 5 + random.nextLong(reconnectDelayMs * 5 + 1);
             reconnectDelayMs = Math.min(limits.journalLongestWait, reconnectDelayMs * 2);
-            reconnectTimer = front.timers().in(delay, this::follow);
+            reconnectTimer = front.timers().in(delay, this::connect);
         }
     }
 
@@ -127,14 +127,14 @@
     private final class Subscription extends ChannelInboundHandlerAdapter {
         private final SocketReads socketReads = new SocketReads();
         private final EventStream events = new EventStream(limits.journalBytes, limits.journalPart,
-                new EventStream.Reader() {
+                new EventStream.Listener() {
                     @Override
-                    public void read(String id, byte[] data, int length) {
+                    public void event(String id, byte[] data, int length) {
                         onEvent(id, data, length);
                     }
 
                     @Override
-                    public void tooLong(String id, long bytes) {
+                    public void eventTooLong(String id, long bytes) {
                         skipOversized("journal event too long, ignored", bytes, limits.journalBytes);
                     }
                 });
@@ -275,7 +275,7 @@
                 } else {
                     channel.close();
                 }
-            } catch (IOException | BootException e) {
+            } catch (IOException | InvalidConfigurationException e) {
                 onMalformedEvent(id, e.getMessage());
                 channel.close();
             }
@@ -306,10 +306,11 @@
      * @param lastReceived when the subscription had last received anything before this event
      */
     private boolean handleEvent(String id, byte[] data, int length, long lastReceived) throws IOException,
-            BootException {
+            InvalidConfigurationException {
         HostRow.Reader rowReader = new HostRow.Reader(limits.engines);
         Map<?, ?> event = Json.map(Json.read(data, length, "hosts.hosts", rowReader), "event");
-        long eventNumber = id.isEmpty() ? Json.whole(event, "pos", 0) : Json.whole(Map.of("id", id), "id", 0);
+        long eventNumber = id.isEmpty() ? Json.wholeNumber(event, "pos", 0)
+                : Json.wholeNumber(Map.of("id", id), "id", 0);
         if (eventNumber <= position) {
             return true;
         }
@@ -362,16 +363,16 @@
     /** Updates the list; engines absent from a complete list are removed. Engine names are never reused. */
     private void applyList(boolean complete, Map<Id.Engine, Host> hosts) {
         if (complete) {
-            held = new LinkedHashMap<>();
+            knownHosts = new LinkedHashMap<>();
         }
-        if (held.size() + hosts.size() > limits.engines) {
+        if (knownHosts.size() + hosts.size() > limits.engines) {
             dropExcess(hosts);
         }
         hosts.forEach((id, host) -> {
             if (isGone(host)) {
-                held.remove(id);
+                knownHosts.remove(id);
             } else {
-                held.put(id, host);
+                knownHosts.put(id, host);
             }
         });
     }
@@ -382,8 +383,8 @@
     }
 
     /** The number of engines in the list. */
-    int held() {
-        return held.size();
+    int knownHosts() {
+        return knownHosts.size();
     }
 
     private static boolean isComplete(Map<?, ?> list) {
@@ -393,8 +394,8 @@
     /** Drops engines that are not in the list yet and would exceed the limit. */
     private void dropExcess(Map<Id.Engine, Host> hosts) {
         int listed = hosts.size();
-        int[] room = {limits.engines - held.size()};
-        hosts.values().removeIf(host -> !isGone(host) && !held.containsKey(host.listing().engine())
+        int[] room = {limits.engines - knownHosts.size()};
+        hosts.values().removeIf(host -> !isGone(host) && !knownHosts.containsKey(host.listing().engine())
                 && --room[0] < 0);
         if (hosts.size() < listed) {
             front.log().line("engines at their limit, left out", listed - hosts.size() + " of " + listed);
@@ -406,11 +407,12 @@
     }
 
     /** Engines by name; if a name occurs twice, only the last entry counts. */
-    private Map<Id.Engine, Host> parseHosts(Map<?, ?> list, long lastReceived) throws BootException {
+    private Map<Id.Engine, Host> parseHosts(Map<?, ?> list,
+            long lastReceived) throws InvalidConfigurationException {
         Map<Id.Engine, Host> hosts = new LinkedHashMap<>();
         for (Object entry : Json.list(list.get("hosts"), "hosts")) {
             if (!(entry instanceof HostRow row)) {
-                throw new BootException("hosts", "contains an element that is not an object");
+                throw new InvalidConfigurationException("hosts", "contains an element that is not an object");
             }
             hosts.put(row.engine(), new Host(new Event.Listing(row.engine(), row.kind(), row.zone(),
                     row.cell(), row.health(), startedAt(row, lastReceived)), row.address(),
@@ -421,7 +423,7 @@
 
     /** An unchanged start time keeps its first conversion, even if the system clock was changed since. */
     private long startedAt(HostRow row, long lastReceived) {
-        Host previous = held.get(row.engine());
+        Host previous = knownHosts.get(row.engine());
         if (previous != null && previous.startedAtUnixMs() == row.startedAtUnixMs()) {
             return previous.listing().startedAt();
         }
--- a/src/main/java/reedspring/net/Json.java
+++ b/src/main/java/reedspring/net/Json.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 
 /** Parses JSON into maps, lists and strings. Numbers stay strings; the callers convert them as needed. */
 final class Json {
@@ -23,14 +23,14 @@
 
     /** Converts each object of a list as it is parsed, so that a long list doesn't hold a map per element. */
     interface ElementMapper {
-        Object map(Map<?, ?> object) throws BootException;
+        Object map(Map<?, ?> object) throws InvalidConfigurationException;
     }
 
     /** @throws IOException if the text is not JSON or is nested too deeply */
     static Object read(String text) throws IOException {
         try {
             return read(FACTORY.createParser(text), null, null);
-        } catch (BootException e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException("no mapper was given", e);
         }
     }
@@ -38,15 +38,15 @@
     /**
      * @param path dotted path to the lists whose objects {@code mapper} converts
      * @throws IOException as above
-     * @throws BootException if {@code mapper} rejects an object
+     * @throws InvalidConfigurationException if {@code mapper} rejects an object
      */
     static Object read(byte[] text, int length, String path, ElementMapper mapper)
-            throws IOException, BootException {
+            throws IOException, InvalidConfigurationException {
         return read(FACTORY.createParser(text, 0, length), path, mapper);
     }
 
     private static Object read(JsonParser parser, String path, ElementMapper mapper)
-            throws IOException, BootException {
+            throws IOException, InvalidConfigurationException {
         try (parser) {
             Object value = parseValue(parser, parser.nextToken(), path == null ? null : "." + path, mapper);
             if (parser.nextToken() != null) {
@@ -58,7 +58,7 @@
 
     /** Parses a value. {@code path} is the path that remains from here, null if the value is not on it. */
     private static Object parseValue(JsonParser parser, JsonToken token, String path, ElementMapper mapper)
-            throws IOException, BootException {
+            throws IOException, InvalidConfigurationException {
         if (token == JsonToken.START_OBJECT) {
             Map<String, Object> map = new LinkedHashMap<>();
             while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -87,41 +87,43 @@
                 ? path.substring(name.length() + 1) : null;
     }
 
-    static Map<?, ?> map(Object value, String field) throws BootException {
+    static Map<?, ?> map(Object value, String field) throws InvalidConfigurationException {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new BootException(field, value == null ? "missing" : "is not an object");
+        throw new InvalidConfigurationException(field, value == null ? "missing" : "is not an object");
     }
 
-    static List<?> list(Object value, String field) throws BootException {
+    static List<?> list(Object value, String field) throws InvalidConfigurationException {
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new BootException(field, value == null ? "missing" : "is not a list");
+        throw new InvalidConfigurationException(field, value == null ? "missing" : "is not a list");
     }
 
-    static String text(Map<?, ?> map, String field) throws BootException {
+    static String text(Map<?, ?> map, String field) throws InvalidConfigurationException {
         Object value = map.get(field);
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new BootException(field, value == null ? "missing" : "is not a string or number");
+        throw new InvalidConfigurationException(field, value == null ? "missing"
+                : "is not a string or number");
     }
 
-    static long whole(Map<?, ?> map, String field, long defaultValue) throws BootException {
+    static long wholeNumber(Map<?, ?> map, String field,
+            long defaultValue) throws InvalidConfigurationException {
         if (map.get(field) == null) {
             return defaultValue;
         }
         try {
             return (long) Double.parseDouble(text(map, field));
         } catch (NumberFormatException e) {
-            throw new BootException(field, "'" + map.get(field) + "' is not a number");
+            throw new InvalidConfigurationException(field, "'" + map.get(field) + "' is not a number");
         }
     }
 
     /** Flattens nested settings into the path=value pairs that the simulator's first message uses. */
-    static Map<String, String> flat(Map<?, ?> nested) {
+    static Map<String, String> toPairs(Map<?, ?> nested) {
         Map<String, String> pairs = new LinkedHashMap<>();
         flatten("", nested, pairs);
         return pairs;
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -45,7 +45,7 @@
     private ByteBuffer currentPageText;
     private long lastReadId;
 
-    /** A word for the spool, with the text of the page if it brings one, else null. */
+    /** An event for the spool, with the text of the page if it brings one, else null. */
     private record QueuedWord(Word word, ByteBuffer text) {
     }
 
@@ -102,26 +102,26 @@
     void offerAnswer(Submission s) {
         OpenQuery q = s.query;
         submissionsByQuery.put(q.id, s);
-        deliver(new Word.Began(q.id, q.tenant, q.repeatable, s.sheets));
+        deliver(new Word.Began(q.id, q.tenant, q.repeatable, s.pageCount));
     }
 
     /** Passes a page of an answer to the spool, if it keeps that answer. */
     void pageReceived(Submission s, int page, ByteBuf text) {
-        if (s.kept == null) {
+        if (s.keptAnswerId == null) {
             return;
         }
         // The loop may reuse the buffer, so the writer thread gets a copy.
         ByteBuffer copy = ByteBuffer.allocate(text.readableBytes());
         text.getBytes(text.readerIndex(), copy);
         copy.flip();
-        deliver(new Word.PageCame(s.kept, page, copy.remaining()), copy);
+        deliver(new Word.PageCame(s.keptAnswerId, page, copy.remaining()), copy);
     }
 
     /** Ends a submission, whether or not its answer is kept. */
     void submissionEnded(Submission s) {
         submissionsByQuery.remove(s.query.id, s);
-        if (s.kept != null && submissionsByAnswer.remove(s.kept) != null) {
-            deliver(new Word.QueryOver(s.kept));
+        if (s.keptAnswerId != null && submissionsByAnswer.remove(s.keptAnswerId) != null) {
+            deliver(new Word.QueryOver(s.keptAnswerId));
         }
     }
 
@@ -166,7 +166,7 @@
     private void performStep(Step step) {
         if (step instanceof Step.Take take) {
             Submission s = submissionsByQuery.get(take.query());
-            s.kept = take.answer();
+            s.keptAnswerId = take.answer();
             submissionsByAnswer.put(take.answer(), s);
             pageReceived(s, 0, s.pages[0]);
         } else if (step instanceof Step.Refuse refuse) {
@@ -179,7 +179,7 @@
         } else if (step instanceof Step.AskPage ask) {
             Submission s = submissionsByAnswer.get(ask.answer());
             if (s != null) {
-                s.connection.more(s, ask.page());
+                s.connection.requestPage(s, ask.page());
             }
         } else if (step instanceof Step.Kept kept) {
             endKept(kept);
@@ -195,7 +195,7 @@
     /** Ends a submission whose answer could not be kept. */
     private void endNotKept(Submission s) {
         if (s != null) {
-            s.kept = null;
+            s.keptAnswerId = null;
             front.submissionEnded(s, Outcome.NOT_KEPT);
         }
     }
--- a/src/main/java/reedspring/net/Limits.java
+++ b/src/main/java/reedspring/net/Limits.java
@@ -1,8 +1,8 @@
 package reedspring.net;
 
 import reedspring.api.Deployment;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 
 /**
  * All limits on the front's resources, computed once at start. Times are in milliseconds, sizes in bytes.
@@ -132,7 +132,7 @@
     /** Messages to a connection in one turn of the loop that are combined into one write at most. */
     final int flushes = 256;
 
-    Limits(Boot boot, int sockets, long memoryMb) throws BootException {
+    Limits(DeploymentReader boot, int sockets, long memoryMb) throws InvalidConfigurationException {
         // A twelfth of the memory. Direct buffers have a quarter and grow by doubling. With a tenth, doubled,
         // too little was left for reads and copies: 4 of 8 overload runs exhausted direct memory.
         heldBytes = (memoryMb << 20) / 12;
--- a/src/main/java/reedspring/net/QueryRequest.java
+++ b/src/main/java/reedspring/net/QueryRequest.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import reedspring.api.Id;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 
 /**
  * A client's request to run a query, parsed and validated. If {@link #fault} is not null, the request is
@@ -25,7 +25,7 @@
     private static final int HEX_RADIX = 16;
 
     /** Parses a request's fields and validates them against the deployment and the limits. */
-    static QueryRequest of(RpcDecoder.Request call, Boot boot, Limits limits) {
+    static QueryRequest of(RpcDecoder.Request call, DeploymentReader boot, Limits limits) {
         Map<String, String> fields = call.fields();
         String trace = fields.get("trace");
         boolean validTrace = trace != null && TRACE_PATTERN.matcher(trace).matches();
@@ -44,7 +44,7 @@
     }
 
     /** Returns why the request is invalid, or null; for a request with a valid trace. */
-    private String findFault(RpcDecoder.Request call, Boot boot, Limits limits) {
+    private String findFault(RpcDecoder.Request call, DeploymentReader boot, Limits limits) {
         if (group == null) {
             return "no such method";
         }
--- a/src/main/java/reedspring/net/Rows.java
+++ b/src/main/java/reedspring/net/RowValidator.java
@@ -7,11 +7,11 @@
  * its frame is valid. There is one instance per event loop. The bytes are copied out first, because reading
  * them one by one from the buffer took half of the front's own CPU time.
  */
-final class Rows {
+final class RowValidator {
     private static final int COLUMNS = 3;
     private final byte[] buffer;
 
-    Rows(int maxPageBytes) {
+    RowValidator(int maxPageBytes) {
         buffer = new byte[maxPageBytes];
     }
 
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.concurrent.ExecutionException;
 import org.tinylog.provider.ProviderRegistry;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 import reedspring.settings.StandingOrders;
 
 /** Reads the configuration, starts the front on its event loop, and stops it when a signal asks for that. */
@@ -55,7 +55,7 @@
         Log.JsonLines jsonLines();
 
         /** Adds the features to the front; on the loop's thread. */
-        void install(Front front, EventLoop loop, String name) throws BootException;
+        void install(Front front, EventLoop loop, String name) throws InvalidConfigurationException;
     }
 
     private static int serve(Map<String, String> environment, OptionalFeatures features)
@@ -103,7 +103,7 @@
             int exitCode = termination.await();
             closeFront(front, reloads);
             return exitCode;
-        } catch (BootException e) {
+        } catch (InvalidConfigurationException e) {
             System.err.println("reedspring: configuration: " + e.getMessage());
             return EXIT_CONFIGURATION;
         } catch (UnavailableException e) {
@@ -192,7 +192,7 @@
 
     private static StartedFront startFront(EventLoop loop, Turns turns, FrontConfiguration configuration,
                                            OptionalFeatures features, Termination termination)
-            throws InterruptedException, BootException {
+            throws InterruptedException, InvalidConfigurationException {
         try {
             return loop.submit(() -> {
                 Log log = new Log(configuration.limits(), features == null ? null : features.jsonLines());
@@ -205,21 +205,21 @@
                 return new StartedFront(front, follow(loop, front, configuration));
             }).get();
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof BootException error) {
+            if (e.getCause() instanceof InvalidConfigurationException error) {
                 throw error;
             }
-            throw new BootException("known", String.valueOf(e.getCause()));
+            throw new InvalidConfigurationException("known", String.valueOf(e.getCause()));
         }
     }
 
     /** Gives the front the engines of the configuration, and then the updates of the journal service. */
     static Journal follow(EventLoop loop, Front front, FrontConfiguration configuration)
-            throws BootException {
+            throws InvalidConfigurationException {
         Journal journal = new Journal(loop, front, configuration.limits(), configuration.journal(),
                 ~configuration.seed());
         front.setJournalReader(journal::readNow);
-        journal.known(configuration.known());
-        journal.follow();
+        journal.loadConfigured(configuration.known());
+        journal.connect();
         return journal;
     }
 
@@ -235,12 +235,12 @@
             InetSocketAddress service = FrontConfiguration.read(path).journal();
             loop.execute(() -> {
                 front.log().line("configuration read again, journal at", service.toString());
-                journal.move(service);
+                journal.changeAddress(service);
             });
             return true;
         } catch (IOException e) {
             logUnusable(loop, front, FrontConfiguration.unreadableFile(e));
-        } catch (BootException e) {
+        } catch (InvalidConfigurationException e) {
             logUnusable(loop, front, e);
         } catch (RuntimeException e) {
             loop.execute(() -> front.log().fault("configuration can't be used, nothing changed", e));
@@ -249,7 +249,7 @@
     }
 
     /** The message is part of the event, so that the log's rate limit applies to each fault on its own. */
-    private static void logUnusable(EventLoop loop, Front front, BootException error) {
+    private static void logUnusable(EventLoop loop, Front front, InvalidConfigurationException error) {
         String line = "configuration can't be used, nothing changed: " + error.getMessage();
         loop.execute(() -> front.log().line(line, ""));
     }
@@ -304,7 +304,7 @@
             return null;
         } catch (IOException e) {
             return FrontConfiguration.unreadableFile(e).getMessage();
-        } catch (BootException e) {
+        } catch (InvalidConfigurationException e) {
             return e.getMessage();
         }
     }
--- a/src/main/java/reedspring/net/Submission.java
+++ b/src/main/java/reedspring/net/Submission.java
@@ -15,36 +15,36 @@
     long sentAt;
     long timeoutAt;
     /** The latest time at which it may be sent. */
-    final long departBy;
+    final long latestSendAt;
     EngineConnection connection;
-    Timers.Due end;
+    Timers.Due timeoutTimer;
     boolean written;
-    boolean over;
+    boolean ended;
     /** Set once the engine has finished the query: the pages, null where one is still missing. */
     ByteBuf[] pages;
-    int missing;
-    int sheets;
+    int missingPages;
+    int pageCount;
     /**
      * For an answer that is kept on disk: its name here, then the pages received, and the handle and the time
      * for which it is kept that the client is told.
      */
-    AnswerId kept;
+    AnswerId keptAnswerId;
     BitSet receivedPages;
     String handle;
     long keptForMs;
-    int bytes;
+    int resultBytes;
     long endedAt;
     /** How long the end may have lain unread while the process was paused. */
-    long unseen;
+    long unseenTicks;
     /** The engine's work on the query, as the engine tells it. */
-    long work;
+    long workTicks;
 
     Submission(OpenQuery query, long sentAt, long timeoutAt, long departBy) {
         this.query = query;
         this.number = new Id.Submission(query.submissionCount++);
         this.sentAt = sentAt;
         this.timeoutAt = timeoutAt;
-        this.departBy = departBy;
+        this.latestSendAt = departBy;
     }
 
     /** Releases the buffered pages. */
--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -25,7 +25,7 @@
 import java.util.function.Function;
 import reedspring.api.Event;
 import reedspring.api.Id;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 
 /**
  * A front whose control is the program's own (configuration, journal follower on a real socket, timers,
@@ -110,7 +110,7 @@
         on.loop.execute(this::begin);
     }
 
-    private Object[] raise(Path config) throws BootException, IOException {
+    private Object[] raise(Path config) throws InvalidConfigurationException, IOException {
         FrontConfiguration orders = FrontConfiguration.read(config.toString());
         Log log = new Log(orders.limits(), this::line);
         Front made = new Front(on.loop, on.turns, orders.boot(), orders.limits(), log, orders.seed(),
@@ -172,7 +172,7 @@
         }
 
         @Override
-        public void listed(Event.ListKind reading, List<Host> hosts) {
+        public void enginesListed(Event.ListKind reading, List<Host> hosts) {
             if (reading != Event.ListKind.CHANGES) {
                 listed.clear();
                 digest = 0;
@@ -203,11 +203,11 @@
         }
 
         private void ends(Id.Engine engine, Submission s, long work) {
-            if (s.over) {
+            if (s.ended) {
                 return;
             }
             s.pages = new ByteBuf[0];
-            s.work = work;
+            s.workTicks = work;
             of.recordEnd(s);
             of.loadReported(engine.address(), String.format(Locale.ROOT, "util:%.2f;x0:%.2f;queue:0",
                     0.5 * chance.nextDouble(), 0.5 * chance.nextDouble()));
--- a/src/rig/java/reedspring/net/JournalReading.java
+++ b/src/rig/java/reedspring/net/JournalReading.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 
 /** How a front reads one event of the journal service, with no front: the stream's lines, then its rows. */
 public final class JournalReading {
@@ -21,13 +21,13 @@
     }
 
     /** What one event may hold before it is read past and not taken, bytes. */
-    public static int most() throws BootException {
-        return new Limits(new Boot(Map.of()), 1024, 256).journalBytes;
+    public static int most() throws InvalidConfigurationException {
+        return new Limits(new DeploymentReader(Map.of()), 1024, 256).journalBytes;
     }
 
     /** Under which numbers of descriptors and megabytes a front holds how much. */
-    public static Map<String, Integer> holds(int sockets, int memoryMb) throws BootException {
-        Limits limits = new Limits(new Boot(Map.of()), sockets, memoryMb);
+    public static Map<String, Integer> holds(int sockets, int memoryMb) throws InvalidConfigurationException {
+        Limits limits = new Limits(new DeploymentReader(Map.of()), sockets, memoryMb);
         return Map.of("clients", limits.clientConnections, "engines", limits.allEngineConnections,
                 "queries", limits.queries);
     }
@@ -39,18 +39,18 @@
      */
     public int read(byte[] event, int most) {
         held = null;
-        EventStream stream = new EventStream(most, SIGN, new EventStream.Reader() {
+        EventStream stream = new EventStream(most, SIGN, new EventStream.Listener() {
             @Override
-            public void read(String id, byte[] data, int length) {
+            public void event(String id, byte[] data, int length) {
                 try {
                     held = Json.read(data, length, "hosts.hosts", new HostRow.Reader(Integer.MAX_VALUE));
-                } catch (IOException | BootException e) {
+                } catch (IOException | InvalidConfigurationException e) {
                     throw new IllegalStateException("the rig's own event can't be read", e);
                 }
             }
 
             @Override
-            public void tooLong(String id, long bytes) {
+            public void eventTooLong(String id, long bytes) {
                 held = null;
             }
         });
--- a/src/rig/java/reedspring/rig/fleet/Terms.java
+++ b/src/rig/java/reedspring/rig/fleet/Terms.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.TreeSet;
 import reedspring.api.Deployment;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 
 /** What a fleet's fronts are told at their start, for started programs and for decisions alone. */
 public final class Terms {
@@ -96,8 +96,8 @@
 
     static Deployment deployment(Timetable table) {
         try {
-            return new Boot(pairs(table)).deployment();
-        } catch (BootException e) {
+            return new DeploymentReader(pairs(table)).deployment();
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/reedspring/net/CodecTest.java
+++ b/src/test/java/reedspring/net/CodecTest.java
@@ -23,16 +23,16 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 import reedspring.rig.Client;
 
 /** Tests the codecs with fragments of any size and with invalid input. */
 class CodecTest {
     private static Limits limits() {
         try {
-            return new Limits(new Boot(Map.of()), 1024, 192);
-        } catch (BootException e) {
+            return new Limits(new DeploymentReader(Map.of()), 1024, 192);
+        } catch (InvalidConfigurationException e) {
             throw new AssertionError(e);
         }
     }
@@ -172,7 +172,7 @@
         for (int k = 0; k < 30; k++) {
             AnswerDecoder.Answer answer = (AnswerDecoder.Answer) decoded.get(k);
             assertEquals(List.of("id", "data", Map.of("sheets", "2", "rep", "a:1;b:2"), bodies.get(k)),
-                    List.of(answer.id(), answer.word(), answer.fields(), textAndRelease(answer.body())));
+                    List.of(answer.id(), answer.kind(), answer.fields(), textAndRelease(answer.body())));
         }
         assertFalse(channel.finish());
     }
@@ -188,14 +188,14 @@
     }
 
     private static EventStream eventStream(int maxBytes, BiConsumer<String, String> reader) {
-        return new EventStream(maxBytes, 64, new EventStream.Reader() {
+        return new EventStream(maxBytes, 64, new EventStream.Listener() {
             @Override
-            public void read(String id, byte[] data, int length) {
+            public void event(String id, byte[] data, int length) {
                 reader.accept(id, new String(data, 0, length, StandardCharsets.UTF_8));
             }
 
             @Override
-            public void tooLong(String id, long bytes) {
+            public void eventTooLong(String id, long bytes) {
                 assertTrue(bytes > maxBytes, bytes + " bytes");
                 reader.accept(id, "too long");
             }
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -42,7 +42,7 @@
 import net.jqwik.api.ShrinkingMode;
 import reedspring.api.Deployment;
 import reedspring.api.Id;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.core.policy.QueryLifecycle;
 import reedspring.rig.Client;
 import reedspring.rig.EngineStandIn;
@@ -364,7 +364,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
-        Boot boot = new Boot(Map.of());
+        DeploymentReader boot = new DeploymentReader(Map.of());
         Limits limits = new Limits(boot, 1024, 192);
         loop.submit(() -> {
             Front localFront = new Front(loop, turns, boot, limits, new Log(limits, null), 1);
@@ -375,8 +375,8 @@
                             new Deployment.ResourceGroup(10_000, 2, 1, 0, 1, Deployment.Effect.READ_ONLY,
                                     Deployment.Recognised.ALL, 0, false, null, null), 3));
             Submission s = new Submission(q, localFront.clock().now(), q.deadline, Long.MAX_VALUE);
-            EngineConnection connection = new EngineConnection(localFront, limits, new Rows(limits.pageBytes),
-                    "e0", () -> true, ended -> { });
+            EngineConnection connection = new EngineConnection(localFront, limits,
+                    new RowValidator(limits.pageBytes), "e0", () -> true, ended -> { });
             connection.send(s);
             connection.dial(new Bootstrap().group(loop).channel(NioSocketChannel.class),
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), engine.port()));
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -26,7 +26,7 @@
 import reedspring.api.Event;
 import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.rig.Client;
 import reedspring.rig.EngineStandIn;
 import reedspring.rig.JournalStandIn;
@@ -70,17 +70,17 @@
         Map<String, String> settings = new HashMap<>(SETTINGS);
         settings.put("allowed.sendCap", Integer.toString(maxSubmissions));
         settings.put("classes.0.effect", effect);
-        Boot boot = new Boot(settings);
+        DeploymentReader boot = new DeploymentReader(settings);
         limits = new Limits(boot, 1024, 192);
         front = onLoop(() -> new Front(loop, turns, boot, limits, new Log(limits, null), 1,
-                made -> withDecisionHook(new Engines(loop, limits, made))));
+                made -> withDecisionHook(new EngineConnections(loop, limits, made))));
     }
 
     private SubmissionRunner withDecisionHook(SubmissionRunner engines) {
         return new SubmissionRunner() {
             @Override
-            public void listed(Event.ListKind reading, List<Host> hosts) {
-                engines.listed(reading, hosts);
+            public void enginesListed(Event.ListKind reading, List<Host> hosts) {
+                engines.enginesListed(reading, hosts);
             }
 
             @Override
@@ -237,7 +237,7 @@
             Journal follower = new Journal(loop, front, limits,
                     FrontConfiguration.address(journal.address(), "journal"), 1);
             front.setJournalReader(follower::readNow);
-            follower.follow();
+            follower.connect();
             return null;
         });
         InetSocketAddress listen = (InetSocketAddress) Startup.server(loop, front, limits)
@@ -274,7 +274,7 @@
     @Example
     void descriptorLimitsKeepTheJournalReachable() throws Exception {
         for (int sockets = 64; sockets <= 4_096; sockets++) {
-            Limits each = new Limits(new Boot(SETTINGS), sockets, 192);
+            Limits each = new Limits(new DeploymentReader(SETTINGS), sockets, 192);
             int shared = each.clientConnections + each.allEngineConnections + each.lingering;
             assertTrue(sockets - shared >= 40 && each.clientConnections > 0 && each.allEngineConnections > 0,
                     shared + " of " + sockets);
@@ -295,7 +295,7 @@
         Journal follower = onLoop(() -> {
             Journal made = new Journal(loop, front, limits,
                     FrontConfiguration.address(journal.address(), "journal"), 1);
-            made.follow();
+            made.connect();
             return made;
         });
         await("the last list", () -> {
@@ -305,7 +305,7 @@
                 throw new AssertionError(e);
             }
         });
-        assertEquals(1, onLoop(follower::held));
+        assertEquals(1, onLoop(follower::knownHosts));
     }
 
     /** A drain notice arrives after the decision, while the connection to the engine is being opened. */
--- a/src/test/java/reedspring/net/StallProbeTest.java
+++ b/src/test/java/reedspring/net/StallProbeTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 
 /** The probe's arithmetic, with a simulated clock and simulated thread times. */
 class StallProbeTest {
@@ -29,7 +29,7 @@
     private Log log;
 
     private StallProbe probe() throws Exception {
-        Limits limits = new Limits(new Boot(Map.of("classes.count", "0")), 1024, 192);
+        Limits limits = new Limits(new DeploymentReader(Map.of("classes.count", "0")), 1024, 192);
         log = new Log(limits, (level, event, detail, more) -> {
             lines.add(event + ": " + detail);
             return "";
--- a/src/test/java/reedspring/net/StallsIT.java
+++ b/src/test/java/reedspring/net/StallsIT.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.rig.Client;
 import reedspring.rig.JournalStandIn;
 import reedspring.rig.Program;
@@ -40,7 +40,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
-        Limits limits = new Limits(new Boot(Map.of()), 1024, 192);
+        Limits limits = new Limits(new DeploymentReader(Map.of()), 1024, 192);
         Log log = new Log(limits, (level, event, detail, more) -> {
             logLines.add(event + ": " + detail);
             if (event.equals("slow")) {
@@ -48,7 +48,8 @@
             }
             return event;
         });
-        localFront = loop.submit(() -> new Front(loop, turns, new Boot(Map.of()), limits, log, 1)).get();
+        localFront = loop.submit(() -> new Front(loop, turns, new DeploymentReader(Map.of()), limits, log,
+                1)).get();
         // The probe looks up the JVM's other threads 2 s after its start.
         Thread.sleep(2_600);
         loop.submit(() -> localFront.log().sum()).get();
