--- a/src/main/java/reedspring/cli/Commands.java
+++ b/src/main/java/reedspring/cli/Commands.java
@@ -10,7 +10,7 @@
 import reedspring.adapter.WireException;
 import reedspring.net.Startup;
 import reedspring.settings.SettingsException;
-import reedspring.settings.StandingOrders;
+import reedspring.settings.InstallationSettings;
 
 /**
  * The command line for operators. The platform's two command lines are not handled here: {@code Main} runs
@@ -64,7 +64,7 @@
         public Integer call() throws SettingsException, InterruptedException {
             // halt, as System.exit would run shutdown hooks.
             Runtime.getRuntime().halt(settings == null ? Startup.serve(System.getenv())
-                    : Startup.serve(System.getenv(), StandingOrders.read(settings)));
+                    : Startup.serve(System.getenv(), InstallationSettings.read(settings)));
             return 0;
         }
     }
@@ -105,7 +105,7 @@
             boolean valid = true;
             if (settings != null) {
                 try {
-                    StandingOrders.read(settings);
+                    InstallationSettings.read(settings);
                 } catch (SettingsException e) {
                     e.faults().forEach(System.err::println);
                     valid = false;
--- a/src/main/java/reedspring/net/AcceptGuard.java
+++ b/src/main/java/reedspring/net/AcceptGuard.java
@@ -27,7 +27,7 @@
     private int accepted;
     private boolean acceptingAll;
     private boolean failed;
-    private boolean rests;
+    private boolean paused;
     private Channel listener;
     /** The selector has reported a connection, which proves that the listener is registered. */
     private boolean selectorReported;
@@ -39,8 +39,8 @@
     }
 
     /** Whether accepting is paused after a failure, so that connections may be waiting. */
-    boolean rests() {
-        return rests;
+    boolean paused() {
+        return paused;
     }
 
     /** Lower bound of the arrival time of the connection that is being accepted, in ticks. */
@@ -60,7 +60,7 @@
      * may have failed.
      */
     void tick() {
-        if (selectorReported || rests || listener == null || !listener.isActive()) {
+        if (selectorReported || paused || listener == null || !listener.isActive()) {
             return;
         }
         int before = accepted;
@@ -90,7 +90,7 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!acceptingAll) {
             boolean more = accepted >= ACCEPTS_PER_PASS;
-            if (!rests && arrival.mayHaveWaited()) {
+            if (!paused && arrival.mayHaveWaited()) {
                 // The queue filled during a stall: until it is empty, any connection in it may be that old.
                 more = !acceptAll(ctx.channel());
             }
@@ -130,7 +130,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            front.log().fault("listener fault", cause);
+            front.log().error("listener fault", cause);
             return;
         }
         failed = true;
@@ -139,17 +139,17 @@
         front.log().line("accept failed", failureCause + ", " + cause.getMessage());
         front.counters().add(failureCause);
         // One pass can fail twice but pauses only once.
-        long delayTicks = rests ? 0 : backoff.onFailure(failureCause);
+        long delayTicks = paused ? 0 : backoff.onFailure(failureCause);
         if (delayTicks > 0) {
             Channel listener = ctx.channel();
-            rests = true;
+            paused = true;
             listener.config().setAutoRead(false);
-            front.timers().in(delayTicks, () -> acceptAgain(listener));
+            front.timers().scheduleIn(delayTicks, () -> acceptAgain(listener));
         }
     }
 
     private void acceptAgain(Channel listener) {
-        rests = false;
+        paused = false;
         // The listener was not polled during the pause.
         arrival.markNotEmptied();
         if (listener.isOpen()) {
--- a/src/main/java/reedspring/net/ArrivalBound.java
+++ b/src/main/java/reedspring/net/ArrivalBound.java
@@ -13,14 +13,14 @@
     /** A bound that is no older than this, in ticks, is accurate enough. */
     private static final long CLOSE_ENOUGH_TICKS = 100;
 
-    private final Turns turns;
+    private final EventLoopTurns turns;
     private final Clock clock;
     private long emptyAt;
     /** The latest turn of the loop in which the socket is not known to have been emptied. */
     private long unprovenTurn;
 
     /** @param emptyAt a time in ticks at which the socket was empty or did not exist */
-    ArrivalBound(Turns turns, Clock clock, long emptyAt) {
+    ArrivalBound(EventLoopTurns turns, Clock clock, long emptyAt) {
         this.turns = turns;
         this.clock = clock;
         this.emptyAt = emptyAt;
--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -31,7 +31,7 @@
     /** Whether the front, not the client, closed the connection. */
     private boolean closedByFront;
     private boolean connectionLost;
-    private Timers.Due lingerTimer;
+    private Timers.Timer lingerTimer;
     /** Bytes that waited in the write buffer at the last check. */
     private long lastPendingBytes;
     /** Whether an answer with rows or pages was flushed since the last check. */
@@ -83,7 +83,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        front.stallProbe().is("client message");
+        front.stallProbe().nameWork("client message");
         lastUsedAt = front.clock().now();
         if (closing || !ctx.channel().isOpen()) {
             // Read in one go with the message that caused the close, but behind it.
@@ -116,7 +116,7 @@
             } else if (front.keptAnswers() != null && (call.method().equals("page")
                     || call.method().equals("release"))) {
                 handleKeptAnswerRequest(call);
-            } else if (openQueries.size() + unsentAnswers >= front.limits().clientQueries) {
+            } else if (openQueries.size() + unsentAnswers >= front.limits().maxClientQueries) {
                 front.recordTurnedAway(call);
                 turnAway(call.id());
             } else {
@@ -141,7 +141,7 @@
         } else if (call.method().equals("release")) {
             markUsed();
             front.keptAnswers().release(this, call.id(), call.fields());
-        } else if (pageReads.size() >= front.limits().clientQueries) {
+        } else if (pageReads.size() >= front.limits().maxClientQueries) {
             turnAway(call.id());
         } else {
             markUsed();
@@ -241,7 +241,7 @@
     /** Refuses a request because a limit is reached. */
     void turnAway(long id) {
         front.log().line("request turned away by a limit", "");
-        sendShed(id, front.limits().comeBack);
+        sendShed(id, front.limits().retryAfterMs);
     }
 
     private void sendShed(long id, long pauseMs) {
@@ -289,7 +289,7 @@
         });
         // Reading goes on while answers wait, as closes and revokes are seen only that way. So a client that
         // never reads must be cut off: each answer takes memory, and no client has this many requests open.
-        if (unsentAnswers > front.limits().clientUnread && !closing) {
+        if (unsentAnswers > front.limits().maxUnreadAnswers && !closing) {
             front.log().line("client connection closed, client does not read",
                     unsentAnswers + " answers wait");
             close(CloseReason.NOT_READING);
@@ -298,7 +298,7 @@
 
     /** Returns whether the client has had time to send its first request. */
     boolean isPastGracePeriod() {
-        return unusedTicks >= front.limits().chanceTicks;
+        return unusedTicks >= front.limits().firstMessageTicks;
     }
 
     /** Records a valid request or an answer. */
@@ -318,15 +318,15 @@
 
     /** Returns how many bytes wait in the write buffer. */
     private long pendingBytes() {
-        return SocketReads.pending(context.channel());
+        return SocketReads.pendingBytes(context.channel());
     }
 
     /** Registers the socket anew if the selector has missed input, or that it can be written to. */
     private void reregisterIfMissed() {
         Channel connection = context.channel();
         boolean outputStalled = pendingBytes() > 0 && pendingBytes() >= lastPendingBytes && !answerFlushed;
-        boolean missedInput = !closing && socketReads.findsUntold(connection, front.clock().now());
-        if (missedInput || outputStalled && SocketReads.sendsUntold(connection)) {
+        boolean missedInput = !closing && socketReads.readUnreported(connection, front.clock().now());
+        if (missedInput || outputStalled && SocketReads.flushUnreported(connection)) {
             front.reregister(connection);
         }
     }
@@ -340,12 +340,12 @@
         }
         answerFlushed = false;
         lastPendingBytes = pendingBytes;
-        if (now - lastProgressAt >= front.limits().clientStall * 10L) {
+        if (now - lastProgressAt >= front.limits().clientStallMs * 10L) {
             front.log().line("client connection closed, client does not read", pendingBytes + " bytes wait");
             close(CloseReason.NOT_READING);
-        } else if (isIdleSince(now - front.limits().clientIdle * 10L)) {
+        } else if (isIdleSince(now - front.limits().clientIdleMs * 10L)) {
             // There may be a request in the socket, not yet read.
-            if (readAndCheckOpen() && isIdleSince(now - front.limits().clientIdle * 10L)) {
+            if (readAndCheckOpen() && isIdleSince(now - front.limits().clientIdleMs * 10L)) {
                 closeGracefully(CloseReason.IDLE);
             }
         } else if (!everUsed && ++unusedTicks > front.limits().silentTicks) {
@@ -365,16 +365,16 @@
     private boolean isMessageOverdue() {
         boolean partial = decoder.hasPartialMessage() && decoder.messageCount() == lastMessageCount
                 && isWritable();
-        boolean stalled = partial && socketReads.bytes() == lastByteCount;
+        boolean stalled = partial && socketReads.bytesRead() == lastByteCount;
         lastMessageCount = decoder.messageCount();
-        lastByteCount = socketReads.bytes();
+        lastByteCount = socketReads.bytesRead();
         partialMessageTicks = partial ? partialMessageTicks + 1 : 0;
         stalledMessageTicks = stalled ? stalledMessageTicks + 1 : 0;
         if (hasOpenWork()) {
             return false;
         }
         return (everUsed ? stalledMessageTicks : partialMessageTicks) > front.limits().unfinishedTicks
-                || partialMessageTicks > front.limits().slowTicks;
+                || partialMessageTicks > front.limits().slowMessageTicks;
     }
 
     /** Closes the connection at once; unread input and unsent answers are lost. */
@@ -422,12 +422,12 @@
      * any client may stall: one that pauses for two seconds must not lose the answers that wait.
      */
     private void scheduleLingerCheck() {
-        lingerTimer = front.timers().in(front.limits().clientLinger * 10L, () -> {
+        lingerTimer = front.timers().scheduleIn(front.limits().lingerMs * 10L, () -> {
             long pendingBytes = pendingBytes();
             long now = front.clock().now();
             lastProgressAt = pendingBytes < lastPendingBytes ? now : lastProgressAt;
             lastPendingBytes = pendingBytes;
-            if (pendingBytes > 0 && now - lastProgressAt < front.limits().clientStall * 10L) {
+            if (pendingBytes > 0 && now - lastProgressAt < front.limits().clientStallMs * 10L) {
                 scheduleLingerCheck();
             } else {
                 close();
@@ -493,7 +493,7 @@
         } else if (cause instanceof IOException) {
             front.log().line("client connection lost", String.valueOf(cause.getMessage()));
         } else {
-            front.log().fault("client connection closed, fault", cause);
+            front.log().error("client connection closed, fault", cause);
         }
         if (cause instanceof IOException) {
             connectionLost = true;
--- a/src/main/java/reedspring/net/ClientConnections.java
+++ b/src/main/java/reedspring/net/ClientConnections.java
@@ -56,7 +56,7 @@
 
     /** Adds a connection whose output is shut down and whose further input is discarded. */
     void addLingering(ClientConnection client) {
-        if (lingeringConnections.size() >= limits.lingering && !front.isLeaving()) {
+        if (lingeringConnections.size() >= limits.maxLingering && !front.isLeaving()) {
             // Each holds a descriptor; many closes at once must not use up those for engines and the journal.
             ClientConnection oldest = lingeringConnections.iterator().next();
             lingeringConnections.remove(oldest);
--- a/src/main/java/reedspring/net/Clock.java
+++ b/src/main/java/reedspring/net/Clock.java
@@ -42,7 +42,7 @@
      * @param ms 0 or less if the engine started long ago
      * @return an estimate by this clock, or 0 for long ago
      */
-    long ofUnixMs(long ms) {
+    long engineStartFromUnixMs(long ms) {
         return ms <= 0 ? 0 : EngineStartTime.estimate(ms * 10, now(), unixTicks.getAsLong());
     }
 
--- a/src/main/java/reedspring/net/Counters.java
+++ b/src/main/java/reedspring/net/Counters.java
@@ -23,7 +23,7 @@
     }
 
     /** All counts as {@code Enum.CONSTANT=count}, or null if none has changed since the last call. */
-    String changes() {
+    String changedCounts() {
         if (!changed) {
             return null;
         }
--- a/src/main/java/reedspring/net/DeadlineMisses.java
+++ b/src/main/java/reedspring/net/DeadlineMisses.java
@@ -58,27 +58,27 @@
         } else if (isLate(q, now)) {
             report("query unanswered past its time, its client has gone", q, now);
         } else if (q.submission != null && q.submission.written
-                && q.submission.sentAt - (now - q.loopDelay) > limits.sentToGone * 10L) {
+                && q.submission.sentAt - (now - q.loopDelay) > limits.sentAfterDisconnectMs * 10L) {
             // The client may have left, unnoticed, before the submission was sent.
             report("submission may have begun after its client left", q, now);
         }
     }
 
     private boolean isLate(OpenQuery q, long now) {
-        return now - q.deadline > limits.lateAnswer * 10L;
+        return now - q.deadline > limits.lateAnswerMs * 10L;
     }
 
     /** Logs a query in a line of its own, up to a limit per interval, as a long stall makes many late. */
     private void report(String event, OpenQuery q, long now) {
         if (now >= intervalEndsAt) {
-            intervalEndsAt = now + limits.logEvery * 10L;
+            intervalEndsAt = now + limits.logIntervalMs * 10L;
             loggedInInterval = 0;
         }
-        if (loggedInInterval++ >= limits.missesNamed) {
+        if (loggedInInterval++ >= limits.maxLoggedMisses) {
             log.line(event + ", details omitted", "");
             return;
         }
-        log.remark(event, String.format(Locale.ROOT, "%s: %s by %d ms; of %d ms: sent %s, heard %s, "
+        log.warnText(event, String.format(Locale.ROOT, "%s: %s by %d ms; of %d ms: sent %s, heard %s, "
                         + "decided %s, ended %d; %d submissions, loop behind %d ms; %s", event, q.trace,
                 (now - q.deadline) / 10, (q.deadline - q.arrivedAt) / 10,
                 millisSinceArrival(q, q.firstSentAt), millisSinceArrival(q, q.firstReplyAt),
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -78,15 +78,16 @@
         ChannelFuture connecting = dialer.clone().handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel created) {
-                created.pipeline().addLast(socketReads, new FlushConsolidationHandler(limits.flushes, true),
+                created.pipeline().addLast(socketReads,
+                        new FlushConsolidationHandler(limits.maxMessagesPerWrite, true),
                         new WholeCommandEncoder(), new RedisDecoder(), decoder, self);
             }
         }).connect(address);
         channel = connecting.channel();
         // Uses the front's own timers: after a pause of this process, Netty's connect timeout would fire
         // before the socket is looked at, and an engine that accepted in time would count as unreachable.
-        Timers.Due connectTimer = front.timers().in(limits.connectTimeout * 10L, () -> {
-            closeReason = "not connected within " + limits.connectTimeout + " ms";
+        Timers.Timer connectTimer = front.timers().scheduleIn(limits.connectTimeoutMs * 10L, () -> {
+            closeReason = "not connected within " + limits.connectTimeoutMs + " ms";
             Front.close(channel);
         });
         front.onDialComplete(connecting, future -> {
@@ -132,7 +133,7 @@
      * network has recovered, and later data queues behind it.
      */
     boolean isUnresponsive() {
-        return probeSentAt >= 0 && front.clock().now() - probeSentAt >= limits.connectTimeout * 10L;
+        return probeSentAt >= 0 && front.clock().now() - probeSentAt >= limits.connectTimeoutMs * 10L;
     }
 
     /** Adds the submission and hands it over for sending, at once or when the connection opens. */
@@ -254,7 +255,7 @@
         // have an unknown outcome. Not while the engine may still run a query of this connection, which
         // closing would cancel.
         if (openSubmissions.isEmpty() && runningTraces.isEmpty()
-                && now - lastUsedAt >= limits.engineIdle * 10L) {
+                && now - lastUsedAt >= limits.engineIdleMs * 10L) {
             close();
         }
         if (connected) {
@@ -265,7 +266,7 @@
             close();
         }
         if (connected && !openSubmissions.isEmpty() && probeSentAt < 0
-                && now - lastReceivedAt >= limits.engineSilence * 10L) {
+                && now - lastReceivedAt >= limits.engineSilenceMs * 10L) {
             probeSentAt = now;
             sendCommand("alive", "front");
         }
@@ -273,8 +274,8 @@
 
     /** Registers the channel again if the selector misses it, or misses that it has data to read or write. */
     private void recoverMissedReadiness() {
-        if (!openSubmissions.isEmpty() && socketReads.findsUntold(channel, front.clock().now())
-                || SocketReads.sendsUntold(channel)) {
+        if (!openSubmissions.isEmpty() && socketReads.readUnreported(channel, front.clock().now())
+                || SocketReads.flushUnreported(channel)) {
             front.reregister(channel);
         }
     }
@@ -284,11 +285,11 @@
      * its remainder, so no submission on this connection could finish any more.
      */
     private boolean answerStalled() {
-        boolean unchanged = socketReads.bytes() != decoder.decodedBytes()
+        boolean unchanged = socketReads.bytesRead() != decoder.decodedBytes()
                 && decodedAtLastCheck == decoder.decodedBytes();
         decodedAtLastCheck = decoder.decodedBytes();
         stalledChecks = unchanged ? stalledChecks + 1 : 0;
-        return stalledChecks > limits.partTicks;
+        return stalledChecks > limits.incompleteAnswerTicks;
     }
 
     private void close() {
@@ -316,7 +317,7 @@
             failure = e;
         }
         if (failure != null && !(failure instanceof ClosedChannelException)) {
-            front.log().fault("command to an engine not written", failure);
+            front.log().error("command to an engine not written", failure);
         }
         return failure == null;
     }
@@ -340,7 +341,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        front.stallProbe().is("engine answer");
+        front.stallProbe().nameWork("engine answer");
         AnswerDecoder.Answer answer = (AnswerDecoder.Answer) message;
         try {
             if (!ctx.channel().isOpen()) {
@@ -514,7 +515,7 @@
         } else if (cause instanceof DecoderException) {
             front.log().line("engine connection closed, malformed answer", engine + " " + cause.getMessage());
         } else {
-            front.log().fault("engine connection closed, fault", cause);
+            front.log().error("engine connection closed, fault", cause);
         }
         ctx.close();
     }
--- a/src/main/java/reedspring/net/EngineConnections.java
+++ b/src/main/java/reedspring/net/EngineConnections.java
@@ -92,7 +92,7 @@
         EngineConnection leastLoaded = usable.stream().filter(c -> !c.isUnresponsive())
                 .min(Comparator.comparingInt(EngineConnection::load)).orElse(null);
         boolean belowEngineLimit = pool.connections.size() < limits.engineConnections;
-        if (leastLoaded != null && (leastLoaded.load() < limits.sharedBy || !belowEngineLimit
+        if (leastLoaded != null && (leastLoaded.load() < limits.submissionsPerConnection || !belowEngineLimit
                 || connectionCount >= limits.allEngineConnections)) {
             leastLoaded.send(s);
             return;
--- a/src/main/java/reedspring/net/Turns.java
+++ b/src/main/java/reedspring/net/EventLoopTurns.java
@@ -18,7 +18,7 @@
  * A task of the loop can't serve as such a callback, as a task that is due at once may still run in the turn
  * that scheduled it.
  */
-final class Turns implements IoHandlerFactory {
+final class EventLoopTurns implements IoHandlerFactory {
     private final IoHandlerFactory nioFactory = NioIoHandler.newFactory();
     private final List<Runnable> afterReading = new ArrayList<>();
     private StallProbe probe;
@@ -50,7 +50,7 @@
     }
 
     /** Has the probe measure the turns, from the next one on. */
-    void watchedBy(StallProbe stallProbe) {
+    void measureWith(StallProbe stallProbe) {
         probe = stallProbe;
     }
 
@@ -73,11 +73,11 @@
                 delegate.handle(registration, event);
                 return;
             }
-            probe.begin("socket");
+            probe.beginWork("socket");
             try {
                 delegate.handle(registration, event);
             } finally {
-                probe.end();
+                probe.endWork();
             }
         }
 
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -41,7 +41,7 @@
     private final Limits limits;
     private final Clock clock;
     private final Log log;
-    private final Turns turns;
+    private final EventLoopTurns turns;
     private final Counters counters = new Counters();
     private final StallProbe stallProbe;
     private final Timers timers;
@@ -70,12 +70,12 @@
     private long heldBytes;
     private long nextLogSummaryAt;
 
-    Front(EventLoop loop, Turns turns, DeploymentReader boot, Limits limits, Log log, long seed) {
+    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader boot, Limits limits, Log log, long seed) {
         this(loop, turns, boot, limits, log, seed, front -> new EngineConnections(loop, limits, front));
     }
 
     /** @param runner creates the submission runner; must not use the front until the constructor returns */
-    Front(EventLoop loop, Turns turns, DeploymentReader boot, Limits limits, Log log, long seed,
+    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader boot, Limits limits, Log log, long seed,
             Function<Front, SubmissionRunner> runner) {
         this.loop = loop;
         this.boot = boot;
@@ -83,18 +83,18 @@
         this.clock = new Clock();
         this.log = log;
         this.turns = turns;
-        this.stallProbe = new StallProbe(log, limits.stoodStill);
-        turns.watchedBy(stallProbe);
+        this.stallProbe = new StallProbe(log, limits.stallMs);
+        turns.measureWith(stallProbe);
         this.timers = new Timers(loop, turns, clock, log, limits, stallProbe);
         this.deadlineMisses = new DeadlineMisses(limits, clock, timers, log);
         this.clientConnections = new ClientConnections(this, limits);
         this.recentTraces = new RecentIds(limits.recentTraces);
         this.engines = runner.apply(this);
-        this.nextLogSummaryAt = clock.now() + limits.logEvery * 10L;
+        this.nextLogSummaryAt = clock.now() + limits.logIntervalMs * 10L;
         deciding = true;
         this.control = new Control(seed, boot.deployment(), clock.now(), this::performSafely);
         deciding = false;
-        timers.in(limits.tick * 10L, this::tick);
+        timers.scheduleIn(limits.tickMs * 10L, this::tick);
     }
 
     Clock clock() {
@@ -105,7 +105,7 @@
         return log;
     }
 
-    Turns turns() {
+    EventLoopTurns turns() {
         return turns;
     }
 
@@ -199,7 +199,7 @@
      */
     private void readJournal() {
         long now = clock.now();
-        if (now - journalReadAt >= limits.newsAge * 10L) {
+        if (now - journalReadAt >= limits.journalReadAgeMs * 10L) {
             journalReadAt = now;
             journalReader.run();
         }
@@ -240,7 +240,7 @@
         queriesByTrace.put(q.traceId, q);
         recentTraces.add(q.traceId);
         addHeldBytes(q.statement.readableBytes());
-        q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
+        q.expiryTimer = timers.scheduleAt(q.deadline + limits.fallbackAnswerMs * 10L, () -> failOverdue(q));
         q.takenEvent = new Event.Taken(q.id, request.group(), request.tenant(),
                 StatementScanner.findDataSet(q.statement), Times.nearestTicks(request.estimateMs()),
                 request.needMb(), q.deadline, null);
@@ -314,7 +314,7 @@
             return;
         }
         if (q.lifecycle.answerIfGivenUp() == Answer.DEFERRED) {
-            defer(q, limits.comeBack * 10L);
+            defer(q, limits.retryAfterMs * 10L);
         } else {
             fail(q, "the connection had to end");
         }
@@ -378,7 +378,7 @@
     private void recordRefusal(Verdict verdict, OpenQuery q) {
         counters.add(verdict);
         if (verdict.breach()) {
-            log.remark("rule would be broken", "rule would be broken, not done: " + verdict + " " + q.trace
+            log.warnText("rule would be broken", "rule would be broken, not done: " + verdict + " " + q.trace
                     + ": " + q.history.describe());
         }
     }
@@ -426,12 +426,12 @@
             while (!engineEvents.isEmpty() || !events.isEmpty()) {
                 readJournal();
                 Event next = engineEvents.isEmpty() ? events.poll() : engineEvents.poll();
-                long startedAt = stallProbe.decides();
+                long startedAt = stallProbe.decisionStart();
                 try {
                     control.onEvent(clock.now(), next, this::performSafely);
                 } catch (RuntimeException | Error e) {
                     // The expiry timer still answers the query concerned.
-                    log.fault("a decision failed", e);
+                    log.error("a decision failed", e);
                 }
                 stallProbe.decided(startedAt, next);
             }
@@ -445,7 +445,7 @@
         try {
             perform(action);
         } catch (RuntimeException | Error e) {
-            log.fault("an action failed", e);
+            log.error("an action failed", e);
         }
     }
 
@@ -482,9 +482,9 @@
                 releaseIfDone(q);
             }
         } else if (action instanceof Action.StartTimer wake) {
-            timers.in(wake.delay(), () -> enqueueEvent(new Event.Woken(wake.timer())));
+            timers.scheduleIn(wake.delay(), () -> enqueueEvent(new Event.Woken(wake.timer())));
         } else if (action instanceof Action.Remark remark) {
-            log.remark("decision", remark.text());
+            log.warnText("decision", remark.text());
         }
         // SubscribeToEngines needs no action: the journal is followed from the start.
     }
@@ -514,7 +514,7 @@
             return;
         }
         q.history.add(Step.ATTEMPT_DECIDED, null, now);
-        s.timeoutTimer = timers.at(timeoutAt, () -> endTimedOut(s));
+        s.timeoutTimer = timers.scheduleAt(timeoutAt, () -> endTimedOut(s));
         engines.send(submit.engine(), s);
     }
 
@@ -542,7 +542,7 @@
                 sendQueued(s);
             } catch (RuntimeException | Error e) {
                 // Its own timeout ends it; the other submissions must still be sent.
-                log.fault("a submission failed", e);
+                log.error("a submission failed", e);
             }
         }
     }
@@ -659,7 +659,7 @@
     // ---- time
 
     private void tick() {
-        timers.in(limits.tick * 10L, this::tick);
+        timers.scheduleIn(limits.tickMs * 10L, this::tick);
         long now = clock.now();
         engines.tick(now);
         if (acceptGuard != null) {
@@ -670,21 +670,21 @@
         }
         clientConnections.openConnections().forEach(client -> client.tick(now));
         if (now >= nextLogSummaryAt) {
-            nextLogSummaryAt = now + limits.logEvery * 10L;
+            nextLogSummaryAt = now + limits.logIntervalMs * 10L;
             logSummary();
         }
     }
 
     /** Logs the suppressed line counts and the counters; also called at the end of a shutdown. */
     void logSummary() {
-        log.sum();
+        log.endInterval();
         logCounts();
     }
 
     private void logCounts() {
-        String counts = counters.changes();
+        String counts = counters.changedCounts();
         if (counts != null) {
-            log.once("counts since the start:", counts);
+            log.info("counts since the start:", counts);
         }
     }
 
@@ -700,20 +700,21 @@
         }
         leaving = true;
         long now = clock.now();
-        leavingDeadline = now + limits.leavingLongest * 10L;
-        log.once("leaving,", queriesById.size() + " queries open");
+        leavingDeadline = now + limits.shutdownAnsweredMs * 10L;
+        log.info("leaving,", queriesById.size() + " queries open");
         // The decisions answer waiting queries. Submissions time out by the shutdown deadline, so that the
         // decisions can answer those queries too: only they know whether a retry is safe.
         enqueueEvent(new Event.Leaving(leavingDeadline));
         for (OpenQuery q : List.copyOf(queriesById.values())) {
             q.deadline = Math.min(q.deadline, leavingDeadline);
             timers.cancel(q.expiryTimer);
-            q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
+            q.expiryTimer = timers.scheduleAt(q.deadline + limits.fallbackAnswerMs * 10L,
+                    () -> failOverdue(q));
             if (q.submission != null) {
                 Submission s = q.submission;
                 timers.cancel(s.timeoutTimer);
                 s.timeoutAt = Math.min(s.timeoutAt, leavingDeadline);
-                s.timeoutTimer = timers.at(s.timeoutAt, () -> endTimedOut(s));
+                s.timeoutTimer = timers.scheduleAt(s.timeoutAt, () -> endTimedOut(s));
             }
         }
         new Shutdown(this, limits, clientConnections, now).begin(onAllAnswered);
@@ -736,7 +737,7 @@
 
     /** Returns whether connections may be waiting in the accept queue while accepting is paused. */
     boolean mayHaveUnacceptedConnections() {
-        return acceptGuard != null && acceptGuard.rests();
+        return acceptGuard != null && acceptGuard.paused();
     }
 
     /** Sets the action that closes the listener, run with the end of the last connections. */
--- a/src/main/java/reedspring/net/FrontConfiguration.java
+++ b/src/main/java/reedspring/net/FrontConfiguration.java
@@ -28,8 +28,8 @@
      */
     static FrontConfiguration read(String path) throws IOException, InvalidConfigurationException {
         Map<?, ?> root = readFile(path);
-        DeploymentReader boot = new DeploymentReader(Json.toPairs(Json.map(root.get("settings"),
-                "settings")));
+        DeploymentReader boot = new DeploymentReader(
+                Json.toPairs(Json.map(root.get("settings"), "settings")));
         if (boot.deployment().groups().isEmpty()) {
             throw new InvalidConfigurationException("settings.classes", "missing");
         }
@@ -44,8 +44,9 @@
             throw new InvalidConfigurationException("limits.memory_mb",
                     "at least " + MIN_MEMORY_MB + " are needed");
         }
-        return new FrontConfiguration(Json.text(root, "name"), address(Json.text(root, "listen"), "listen"),
-                address(Json.text(root, "journal"), "journal"), parseSeed(Json.text(root, "seed")),
+        return new FrontConfiguration(Json.text(root, "name"),
+                parseAddress(Json.text(root, "listen"), "listen"),
+                parseAddress(Json.text(root, "journal"), "journal"), parseSeed(Json.text(root, "seed")),
                 Json.map(root.get("known"), "known"), boot,
                 new Limits(boot, (int) Math.min(sockets, Integer.MAX_VALUE), memoryMb));
     }
@@ -78,7 +79,7 @@
     }
 
     /** Parses a numeric IP address with a port; host names are not resolved. */
-    static InetSocketAddress address(String text, String field) throws InvalidConfigurationException {
+    static InetSocketAddress parseAddress(String text, String field) throws InvalidConfigurationException {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         try {
--- a/src/main/java/reedspring/net/HostRow.java
+++ b/src/main/java/reedspring/net/HostRow.java
@@ -35,7 +35,7 @@
                     zones.computeIfAbsent(optional(host, "site"), Id.Zone::new),
                     cells.computeIfAbsent(Json.wholeNumber(host, "block", 0), Id.Cell::new),
                     parseHealth(Json.text(host, "health")),
-                    FrontConfiguration.address(Json.text(host, "dial"), "dial"),
+                    FrontConfiguration.parseAddress(Json.text(host, "dial"), "dial"),
                     Json.wholeNumber(host, "born_ms", 0));
         }
 
--- a/src/main/java/reedspring/net/Installation.java
+++ b/src/main/java/reedspring/net/Installation.java
@@ -3,13 +3,13 @@
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import reedspring.boot.InvalidConfigurationException;
-import reedspring.settings.StandingOrders;
+import reedspring.settings.InstallationSettings;
 
 /** Starts the optional features that an installation's settings enable, on the front's loop. */
 final class Installation implements Startup.OptionalFeatures {
-    private final StandingOrders settings;
+    private final InstallationSettings settings;
 
-    Installation(StandingOrders settings) {
+    Installation(InstallationSettings settings) {
         this.settings = settings;
     }
 
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -53,7 +53,7 @@
     /** The number of the last event applied. */
     private long position;
     private long reconnectDelayMs;
-    private Timers.Due reconnectTimer;
+    private Timers.Timer reconnectTimer;
     /** Whether the events missing now have been requested again already. */
     private boolean gapRetried;
     /** The id of the last event that could not be parsed. */
@@ -64,7 +64,7 @@
         this.limits = limits;
         this.serviceAddress = serviceAddress;
         this.random = new SplittableRandom(seed);
-        this.reconnectDelayMs = limits.journalFirstWait;
+        this.reconnectDelayMs = limits.journalMinBackoffMs;
         this.dialer = new Bootstrap().group(loop).channelFactory(FrontSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
     }
@@ -92,7 +92,7 @@
     /** Moves to another address of the same journal. Events still arriving from the old one are dropped. */
     void changeAddress(InetSocketAddress address) {
         serviceAddress = address;
-        reconnectDelayMs = limits.journalFirstWait;
+        reconnectDelayMs = limits.journalMinBackoffMs;
         List<Subscription> previous = List.copyOf(subscriptions);
         subscriptions.clear();
         previous.forEach(Subscription::close);
@@ -118,16 +118,16 @@
     private void reconnectLater() {
         if (reconnectTimer == null) {
             long delay = reconnectDelayMs * 5 + random.nextLong(reconnectDelayMs * 5 + 1);
-            reconnectDelayMs = Math.min(limits.journalLongestWait, reconnectDelayMs * 2);
-            reconnectTimer = front.timers().in(delay, this::connect);
+            reconnectDelayMs = Math.min(limits.journalMaxBackoffMs, reconnectDelayMs * 2);
+            reconnectTimer = front.timers().scheduleIn(delay, this::connect);
         }
     }
 
     /** One subscription to the journal's event stream, from connecting to closing. */
     private final class Subscription extends ChannelInboundHandlerAdapter {
         private final SocketReads socketReads = new SocketReads();
-        private final EventStream events = new EventStream(limits.journalBytes, limits.journalPart,
-                new EventStream.Listener() {
+        private final EventStream events = new EventStream(limits.maxJournalEventBytes,
+                limits.journalActivityBytes, new EventStream.Listener() {
                     @Override
                     public void event(String id, byte[] data, int length) {
                         onEvent(id, data, length);
@@ -135,7 +135,7 @@
 
                     @Override
                     public void eventTooLong(String id, long bytes) {
-                        skipOversized("journal event too long, ignored", bytes, limits.journalBytes);
+                        skipOversized("journal event too long, ignored", bytes, limits.maxJournalEventBytes);
                     }
                 });
         private Channel channel;
@@ -181,13 +181,13 @@
          * the service.
          */
         private void scheduleSilenceCheck() {
-            long timeout = (connected ? limits.journalSilence : limits.journalConnect) * 10L;
-            front.timers().at(lastReceivedAt + timeout, () -> {
+            long timeout = (connected ? limits.journalSilenceMs : limits.journalConnectMs) * 10L;
+            front.timers().scheduleAt(lastReceivedAt + timeout, () -> {
                 if (!subscriptions.contains(this)) {
                     return;
                 }
                 long silentFor = front.clock().now() - lastReceivedAt;
-                if (silentFor < (connected ? limits.journalSilence : limits.journalConnect) * 10L) {
+                if (silentFor < (connected ? limits.journalSilenceMs : limits.journalConnectMs) * 10L) {
                     scheduleSilenceCheck();
                 } else if (subscriptions.peekLast() == this) {
                     front.log().line("journal silent, reconnecting", "");
@@ -230,7 +230,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            front.stallProbe().is("journal event");
+            front.stallProbe().nameWork("journal event");
             if (!subscriptions.contains(this) || !channel.isOpen()) {
                 // Closed after a change of address or after an event that could not be used.
                 ReferenceCountUtil.release(message);
@@ -271,7 +271,7 @@
             }
             try {
                 if (Journal.this.handleEvent(id, data, length, lastReceivedAt)) {
-                    reconnectDelayMs = limits.journalFirstWait;
+                    reconnectDelayMs = limits.journalMinBackoffMs;
                 } else {
                     channel.close();
                 }
@@ -293,7 +293,7 @@
             if (cause instanceof IOException) {
                 front.log().line("journal stream lost", String.valueOf(cause.getMessage()));
             } else {
-                front.log().fault("journal stream closed, fault", cause);
+                front.log().error("journal stream closed, fault", cause);
             }
             ctx.close();
         }
@@ -407,8 +407,8 @@
     }
 
     /** Engines by name; if a name occurs twice, only the last entry counts. */
-    private Map<Id.Engine, Host> parseHosts(Map<?, ?> list,
-            long lastReceived) throws InvalidConfigurationException {
+    private Map<Id.Engine, Host> parseHosts(Map<?, ?> list, long lastReceived)
+            throws InvalidConfigurationException {
         Map<Id.Engine, Host> hosts = new LinkedHashMap<>();
         for (Object entry : Json.list(list.get("hosts"), "hosts")) {
             if (!(entry instanceof HostRow row)) {
@@ -427,7 +427,7 @@
         if (previous != null && previous.startedAtUnixMs() == row.startedAtUnixMs()) {
             return previous.listing().startedAt();
         }
-        long estimate = front.clock().ofUnixMs(row.startedAtUnixMs());
+        long estimate = front.clock().engineStartFromUnixMs(row.startedAtUnixMs());
         return estimate == 0 ? 0 : EngineStartTime.ofNewEngine(estimate, lastReceived);
     }
 }
--- a/src/main/java/reedspring/net/Json.java
+++ b/src/main/java/reedspring/net/Json.java
@@ -110,8 +110,8 @@
                 : "is not a string or number");
     }
 
-    static long wholeNumber(Map<?, ?> map, String field,
-            long defaultValue) throws InvalidConfigurationException {
+    static long wholeNumber(Map<?, ?> map, String field, long defaultValue)
+            throws InvalidConfigurationException {
         if (map.get(field) == null) {
             return defaultValue;
         }
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import reedspring.api.Event.Outcome;
 import reedspring.api.Id;
-import reedspring.settings.StandingOrders.SpoolOrders;
+import reedspring.settings.InstallationSettings.SpoolSettings;
 import reedspring.spool.AnswerId;
 import reedspring.spool.Handle;
 import reedspring.spool.Handles;
@@ -54,7 +54,7 @@
     }
 
     /** Opens the spool folder. The disk threads scan it in the background; no answer is kept until then. */
-    KeptAnswers(Front front, EventLoop loop, String name, SpoolOrders orders) throws IOException {
+    KeptAnswers(Front front, EventLoop loop, String name, SpoolSettings orders) throws IOException {
         this.front = front;
         this.terms = orders.terms();
         this.handles = new Handles(name, orders.keys());
@@ -62,7 +62,7 @@
         this.spool = new Spool(terms, random::nextLong);
         this.keeper = new Keeper(new Store(new FileDisk(orders.folder(), true), name, terms.pageBytes()),
                 loop,
-                this, orders.group());
+                this, orders.groupCommitTicks());
         keeper.start();
     }
 
@@ -186,7 +186,7 @@
         } else if (step instanceof Step.Say say) {
             answerFailedRead(say);
         } else if (step instanceof Step.Remark remark) {
-            front.log().remark("spool", remark.text());
+            front.log().warnText("spool", remark.text());
         } else {
             keeper.accept(step, step instanceof Step.Write ? currentPageText : null);
         }
@@ -235,7 +235,7 @@
         try {
             deliver(word);
         } catch (RuntimeException | Error e) {
-            front.log().fault("spool failed", e);
+            front.log().error("spool failed", e);
         }
     }
 
--- a/src/main/java/reedspring/net/Limits.java
+++ b/src/main/java/reedspring/net/Limits.java
@@ -18,39 +18,39 @@
 
     // Clients. They may hold a third of the descriptors; the rest of the half is for overlapping connections.
     final int clientConnections;
-    final int clientQueries = 32;
+    final int maxClientQueries = 32;
     /** Unread answers at which a client is disconnected; no client can be waiting for that many. */
-    final int clientUnread = 4 * clientQueries;
+    final int maxUnreadAnswers = 4 * maxClientQueries;
     /** How long a half-closed connection is still read, so that data in transit doesn't cause a reset. */
-    final int clientLinger = 1_000;
+    final int lingerMs = 1_000;
     /** Maximum number of half-closed connections; above it the oldest is closed at once. */
-    final int lingering;
+    final int maxLingering;
     /** Time after which an idle client is disconnected. */
-    final int clientIdle = 60_000;
+    final int clientIdleMs = 60_000;
     /** Ticks after which a client that has sent no usable or no complete message is disconnected. */
     final int silentTicks = 8;
     /** Ticks after which a client that has sent nothing is the first to be closed at the connection limit. */
-    final int chanceTicks = 2;
+    final int firstMessageTicks = 2;
     /**
      * Ticks after which an unfinished message closes its connection: ticks without progress for a client that
      * has been served, ticks in all for another.
      */
     final int unfinishedTicks = 5;
     /** Limit for an unfinished message of a client that has been served and keeps writing slowly: 10 s. */
-    final int slowTicks = 40;
+    final int slowMessageTicks = 40;
     /** Time after which a client that reads none of its pending answers is disconnected. */
-    final int clientStall = 10_000;
+    final int clientStallMs = 10_000;
     final int messageBytes = 1 << 18;
     final int messageValues = 256;
     /** An unfinished message up to this size is accepted even when {@link #heldBytes} is used up. */
-    final int smallMessage = 4096;
+    final int smallMessageBytes = 4096;
     /** Unsent bytes for one client at which reading from it is paused. */
     final int unsentBytes = 1 << 16;
     /** Kernel buffer of one client in each direction; it counts towards the front's memory limit, too. */
     final int socketBytes = 1 << 16;
     /** Initial and maximum size of a read buffer. */
-    final int firstRead = 2048;
-    final int largestRead = 16_384;
+    final int initialReadBytes = 2048;
+    final int maxReadBytes = 16_384;
 
     // All queries and the memory held for them: statements, unfinished messages, answers.
     final int queries = 2048;
@@ -59,18 +59,18 @@
     final long heldBytes;
     final int answerBytes = 48_000;
     /** A request with values above these is refused as implausible, before any decision on it. */
-    final double longestPatience;
-    final double largestEstimate = 1e9;
+    final double maxPatienceMs;
+    final double maxEstimate = 1e9;
     /** Time after a query's deadline at which the front answers if no decision did; the rules allow more. */
-    final int lastResort = 10;
+    final int fallbackAnswerMs = 10;
     /** How long after a query's deadline its answer is logged as late; the rules allow as much. */
-    final int lateAnswer = 50;
+    final int lateAnswerMs = 50;
     /** How long after a client has disconnected a submission for it may still begin, by the rules. */
-    final int sentToGone = 100;
+    final int sentAfterDisconnectMs = 100;
     /** Late or unanswered queries that are logged one by one in a log interval; the rest are counted. */
-    final int missesNamed = 8;
+    final int maxLoggedMisses = 8;
     /** The delay before a retry that refused clients are told, from the deployment; 0 for none. */
-    final int comeBack;
+    final int retryAfterMs;
 
     // Engines.
     final int pageBytes = 6_000;
@@ -80,31 +80,31 @@
     final int engineConnections;
     final int allEngineConnections;
     final int connectionQueries;
-    final int connectTimeout;
-    final int engineIdle;
+    final int connectTimeoutMs;
+    final int engineIdleMs;
     /** Silence after which a connection with outstanding answers is probed. */
-    final int engineSilence = 1_000;
+    final int engineSilenceMs = 1_000;
     /** Concurrent submissions on a connection at which another one is opened. */
-    final int sharedBy = 4;
+    final int submissionsPerConnection = 4;
     /** Ticks for which an incomplete answer may make no progress before its connection is closed. */
-    final int partTicks = 2;
+    final int incompleteAnswerTicks = 2;
 
     // The journal service. It sends something every second. It is assumed to have delivered its news 2 s
     // after a broken connection, and 4 s after a stop.
-    final int journalSilence = 1_800;
-    final int journalConnect = 1_000;
-    final int journalFirstWait = 50;
-    final int journalLongestWait = 500;
+    final int journalSilenceMs = 1_800;
+    final int journalConnectMs = 1_000;
+    final int journalMinBackoffMs = 50;
+    final int journalMaxBackoffMs = 500;
     /** Maximum size of an event; a list of all engines is a single event. */
-    final int journalBytes;
+    final int maxJournalEventBytes;
     /** Bytes of an unfinished line that count as activity, as a whole line does; fewer are too slow. */
-    final int journalPart = 4096;
+    final int journalActivityBytes = 4096;
     /** Maximum number of known engines. */
     final int engines;
     /** Age of the last read of the journal's socket at which it is read again before a decision or a send. */
-    final int newsAge = 10;
+    final int journalReadAgeMs = 10;
     /** A timer that is later than this shows a stall of the event loop. */
-    final int stoodStill = 50;
+    final int stallMs = 50;
 
     // Shutdown. After SIGTERM, SIGKILL follows 0.7 s after the longest queue timeout, which is counted as 3 s
     // at most. New connections arrive for 0.4 s after SIGTERM, requests on open ones until they are closed.
@@ -116,21 +116,21 @@
     private static final int EXIT_BEFORE_KILL_MS = 200;
     private static final int DEFAULT_QUIET_MS = 800;
     /** Time since SIGTERM for which connections stay open even if no query is held. */
-    final int leavingQuiet;
+    final int shutdownQuietMs;
     /** Time since SIGTERM by which all accepted requests are answered. */
-    final int leavingLongest;
+    final int shutdownAnsweredMs;
     /** Time since SIGTERM at which waiting for clients to read their last answers ends. */
-    final int leavingGone;
+    final int shutdownEndMs;
     /** How long the front waits for clients to close after they have read their last answers. */
-    final int leavingFlush = 300;
+    final int shutdownLingerMs = 300;
 
     /** Interval of the periodic check of all connections; the limits in ticks above count these. */
-    final int tick = 250;
-    final int logEvery = 10_000;
-    final int logKinds = 64;
-    final int logLine = 200;
+    final int tickMs = 250;
+    final int logIntervalMs = 10_000;
+    final int maxLogKinds = 64;
+    final int maxLogDetailChars = 200;
     /** Messages to a connection in one turn of the loop that are combined into one write at most. */
-    final int flushes = 256;
+    final int maxMessagesPerWrite = 256;
 
     Limits(DeploymentReader boot, int sockets, long memoryMb) throws InvalidConfigurationException {
         // A twelfth of the memory. Direct buffers have a quarter and grow by doubling. With a tenth, doubled,
@@ -140,31 +140,31 @@
         // and each engine takes an estimated 1.3 kB in this package, the decisions and the previous list. At
         // 160 bytes of text for each engine the total is about ten times the text. A limit of 1/48 of the
         // memory thus uses most of the heap: 25,000 engines with 192 MB.
-        journalBytes = (int) Math.min(1 << 29, (memoryMb << 20) / 48);
-        engines = journalBytes / 160;
+        maxJournalEventBytes = (int) Math.min(1 << 29, (memoryMb << 20) / 48);
+        engines = maxJournalEventBytes / 160;
         // The descriptors besides the reserve are divided among clients, engines and half-closed connections.
         // Their sum stays below the limit, so that the journal service can always be reached, even if idle
         // clients use up their part while discovery is down.
         int available = sockets - RESERVED_DESCRIPTORS;
-        lingering = Math.max(1, available / 16);
+        maxLingering = Math.max(1, available / 16);
         allEngineConnections = Math.max(4, Math.min(sockets / 4, available / 3));
         engineConnections = Math.max(1, Math.min(8, sockets / 64));
-        clientConnections = Math.min(sockets / 2, available - allEngineConnections - lingering);
+        clientConnections = Math.min(sockets / 2, available - allEngineConnections - maxLingering);
         connectionQueries = Math.max(1, (int) boot.number("allowed.multiplex", 32));
-        connectTimeout = Math.max(1, (int) boot.number("allowed.connectTimeoutMs", 1_000));
+        connectTimeoutMs = Math.max(1, (int) boot.number("allowed.connectTimeoutMs", 1_000));
         // The engine closes idle connections at the full time; the outcome of a submission sent in the same
         // moment would be unknown.
-        engineIdle = (int) (boot.number("allowed.idleCloseMs", 30_000) * 0.8);
+        engineIdleMs = (int) (boot.number("allowed.idleCloseMs", 30_000) * 0.8);
         double longestQueueTimeoutMs = boot.longestTimeout();
-        longestPatience = longestQueueTimeoutMs > 0 ? 2 * longestQueueTimeoutMs : 1e9;
+        maxPatienceMs = longestQueueTimeoutMs > 0 ? 2 * longestQueueTimeoutMs : 1e9;
         int countedQueueTimeoutMs = longestQueueTimeoutMs > 0
                 ? (int) Math.min(longestQueueTimeoutMs, MAX_COUNTED_QUEUE_TIMEOUT_MS)
                 : MAX_COUNTED_QUEUE_TIMEOUT_MS;
         int killAtMs = countedQueueTimeoutMs + KILL_AFTER_QUEUE_TIMEOUT_MS;
-        leavingQuiet = Math.min(DEFAULT_QUIET_MS, killAtMs - CLOSED_BEFORE_KILL_MS);
-        leavingLongest = killAtMs - ANSWERED_BEFORE_KILL_MS;
-        leavingGone = killAtMs - EXIT_BEFORE_KILL_MS;
+        shutdownQuietMs = Math.min(DEFAULT_QUIET_MS, killAtMs - CLOSED_BEFORE_KILL_MS);
+        shutdownAnsweredMs = killAtMs - ANSWERED_BEFORE_KILL_MS;
+        shutdownEndMs = killAtMs - EXIT_BEFORE_KILL_MS;
         Deployment.Capabilities allowed = boot.deployment().capabilities();
-        comeBack = allowed.retryTimes() ? (int) (allowed.maxRetryAfter() / 10) : 0;
+        retryAfterMs = allowed.retryTimes() ? (int) (allowed.maxRetryAfter() / 10) : 0;
     }
 }
--- a/src/main/java/reedspring/net/Log.java
+++ b/src/main/java/reedspring/net/Log.java
@@ -33,7 +33,7 @@
     }
 
     /** Writes a line of level info, without a rate limit: for events that occur once in a front's life. */
-    void once(String event, String detail) {
+    void info(String event, String detail) {
         long began = System.nanoTime();
         Logger.info(json != null ? json.line("info", event, detail, 0) : joined(event, " ", detail));
         spentNanos += System.nanoTime() - began;
@@ -45,7 +45,7 @@
     }
 
     /** Writes a warning whose text is its kind; the event is written in JSON lines only. */
-    void remark(String event, String text) {
+    void warnText(String event, String text) {
         line(text, json == null ? text : event, json == null ? "" : text);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Writes an error with its stack trace. */
-    void fault(String kind, Throwable cause) {
+    void error(String kind, Throwable cause) {
         if (counterOf(kind)[0]++ == 0) {
             long began = System.nanoTime();
             if (json != null) {
@@ -85,12 +85,12 @@
 
     /** The number of kinds is bounded as well, as kinds contain names of engines. */
     private int[] counterOf(String kind) {
-        boolean tracked = countsByKind.size() < limits.logKinds || countsByKind.containsKey(kind);
+        boolean tracked = countsByKind.size() < limits.maxLogKinds || countsByKind.containsKey(kind);
         return countsByKind.computeIfAbsent(tracked ? kind : "lines of other kinds", k -> new int[1]);
     }
 
     /** Ends an interval: writes a summary of the suppressed lines and resets all counts. */
-    void sum() {
+    void endInterval() {
         long began = System.nanoTime();
         countsByKind.forEach((kind, count) -> {
             if (count[0] > 1) {
@@ -107,6 +107,7 @@
 
     /** Truncates and escapes text that comes from peers, which must not forge lines or fill the log. */
     private String printable(String text) {
-        return text.substring(0, Math.min(limits.logLine, text.length())).replaceAll("[^\\x20-\\x7e]", "?");
+        return text.substring(0, Math.min(limits.maxLogDetailChars, text.length()))
+                .replaceAll("[^\\x20-\\x7e]", "?");
     }
 }
--- a/src/main/java/reedspring/net/OpenQuery.java
+++ b/src/main/java/reedspring/net/OpenQuery.java
@@ -31,7 +31,7 @@
     /** Checks which steps the query's state allows. */
     final QueryLifecycle lifecycle;
     final QueryHistory history = new QueryHistory();
-    Timers.Due expiryTimer;
+    Timers.Timer expiryTimer;
     /** Times for the log line of a late answer; 0 if the step was not reached. */
     long arrivedAt;
     long firstSentAt;
--- a/src/main/java/reedspring/net/QueryRequest.java
+++ b/src/main/java/reedspring/net/QueryRequest.java
@@ -48,13 +48,13 @@
         if (group == null) {
             return "no such method";
         }
-        if (!(timeoutMs <= limits.longestPatience) || !call.fields().containsKey("patience")) {
+        if (!(timeoutMs <= limits.maxPatienceMs) || !call.fields().containsKey("patience")) {
             return "patience: milliseconds are wanted";
         }
-        if (!(estimateMs <= limits.largestEstimate)) {
+        if (!(estimateMs <= limits.maxEstimate)) {
             return "weight: milliseconds are wanted";
         }
-        if (!(needMb <= limits.largestEstimate)) {
+        if (!(needMb <= limits.maxEstimate)) {
             return "need_mb: megabytes are wanted";
         }
         if (tenant == Id.Tenant.NOBODY && !boot.deployment().tenants().isEmpty()) {
--- a/src/main/java/reedspring/net/Registration.java
+++ b/src/main/java/reedspring/net/Registration.java
@@ -11,7 +11,7 @@
     }
 
     /** Removes the socket from the selector, and adds it again once the next poll has processed that. */
-    static void renew(Channel socket, Turns turns) {
+    static void renew(Channel socket, EventLoopTurns turns) {
         if (!socket.isRegistered() || !socket.config().isAutoRead()) {
             return;
         }
--- a/src/main/java/reedspring/net/RpcDecoder.java
+++ b/src/main/java/reedspring/net/RpcDecoder.java
@@ -88,7 +88,7 @@
             throw new TooLongFrameException("message exceeds " + limits.messageBytes + " bytes");
         }
         if (!complete) {
-            if (!updatePartialBytes(in.readableBytes()) && in.readableBytes() > limits.smallMessage) {
+            if (!updatePartialBytes(in.readableBytes()) && in.readableBytes() > limits.smallMessageBytes) {
                 refuseRequest(in);
             }
             return;
--- a/src/main/java/reedspring/net/Shutdown.java
+++ b/src/main/java/reedspring/net/Shutdown.java
@@ -37,9 +37,9 @@
         long elapsedTicks = front.clock().now() - startedAt;
         boolean acceptedMore = roster.acceptedCount() != acceptedAtLastCheck;
         acceptedAtLastCheck = roster.acceptedCount();
-        if (elapsedTicks < limits.leavingQuiet * 10L
-                || !front.allAnswered() && elapsedTicks < limits.leavingLongest * 10L
-                + limits.lastResort * 20L) {
+        if (elapsedTicks < limits.shutdownQuietMs * 10L
+                || !front.allAnswered() && elapsedTicks < limits.shutdownAnsweredMs * 10L
+                + limits.fallbackAnswerMs * 20L) {
             checkLater();
             return;
         }
@@ -50,17 +50,17 @@
         // a stall of the loop the others still wait in the accept queue, which closing the listener resets.
         boolean mayHoldMore = acceptedMore || front.mayHaveUnacceptedConnections()
                 || open.stream().anyMatch(ClientConnection::hasPartialMessage);
-        if ((mayHoldMore || !front.allAnswered()) && elapsedTicks < limits.leavingLongest * 10L) {
+        if ((mayHoldMore || !front.allAnswered()) && elapsedTicks < limits.shutdownAnsweredMs * 10L) {
             checkLater();
             return;
         }
         front.closeListener();
         roster.openConnections().forEach(client -> client.closeGracefully(CloseReason.FRONT_ENDS));
-        awaitClients(front.clock().now(), startedAt + limits.leavingGone * 10L);
+        awaitClients(front.clock().now(), startedAt + limits.shutdownEndMs * 10L);
     }
 
     private void checkLater() {
-        front.timers().in(CHECK_INTERVAL_TICKS, this::check);
+        front.timers().scheduleIn(CHECK_INTERVAL_TICKS, this::check);
     }
 
     /**
@@ -71,12 +71,12 @@
         long now = front.clock().now();
         boolean allRead = roster.lingeringConnections().stream().noneMatch(ClientConnection::hasPendingBytes);
         if (roster.lingeringConnections().isEmpty() || now >= deadline
-                || now >= lingerStart + limits.leavingFlush * 10L && allRead) {
-            front.log().once("left", "");
+                || now >= lingerStart + limits.shutdownLingerMs * 10L && allRead) {
+            front.log().info("left", "");
             front.logSummary();
             onComplete.run();
         } else {
-            front.timers().in(LINGER_CHECK_INTERVAL_TICKS, () -> awaitClients(lingerStart, deadline));
+            front.timers().scheduleIn(LINGER_CHECK_INTERVAL_TICKS, () -> awaitClients(lingerStart, deadline));
         }
     }
 }
--- a/src/main/java/reedspring/net/SocketReads.java
+++ b/src/main/java/reedspring/net/SocketReads.java
@@ -18,7 +18,7 @@
     private static final int MAX_PASSES = 256;
 
     private final ArrivalBound arrival;
-    private long bytes;
+    private long bytesRead;
     private boolean readingAll;
     /** The selector has reported data here, which proves that the socket is registered. */
     private boolean selectorReported;
@@ -36,8 +36,8 @@
     }
 
     /** Total number of bytes received. */
-    long bytes() {
-        return bytes;
+    long bytesRead() {
+        return bytesRead;
     }
 
     /** Lower bound of the arrival time of the data that is being read, in ticks. */
@@ -53,8 +53,8 @@
         readingAll = true;
         try {
             long before = -1;
-            for (int pass = 0; pass < MAX_PASSES && bytes != before && socket.isActive(); pass++) {
-                before = bytes;
+            for (int pass = 0; pass < MAX_PASSES && bytesRead != before && socket.isActive(); pass++) {
+                before = bytesRead;
                 reader.read();
             }
         } finally {
@@ -69,11 +69,11 @@
      * @param now in ticks
      * @return whether there was data that the selector had not reported
      */
-    boolean findsUntold(Channel socket, long now) {
+    boolean readUnreported(Channel socket, long now) {
         if (selectorReported || !socket.isActive()) {
             return false;
         }
-        long before = bytes;
+        long before = bytesRead;
         readingWithoutSelector = true;
         try {
             readAll(socket);
@@ -81,11 +81,11 @@
             readingWithoutSelector = false;
             lastEmptyAt = now;
         }
-        return bytes > before;
+        return bytesRead > before;
     }
 
     /** Number of bytes that wait to be written to a socket. */
-    static long pending(Channel socket) {
+    static long pendingBytes(Channel socket) {
         ChannelOutboundBuffer outboundBuffer = socket.unsafe().outboundBuffer();
         return outboundBuffer == null ? 0 : outboundBuffer.totalPendingWriteBytes();
     }
@@ -95,19 +95,19 @@
      *
      * @return whether the socket accepted any of it
      */
-    static boolean sendsUntold(Channel socket) {
-        long before = pending(socket);
+    static boolean flushUnreported(Channel socket) {
+        long before = pendingBytes(socket);
         if (before == 0 || !(socket.unsafe() instanceof AbstractNioChannel.NioUnsafe writer)) {
             return false;
         }
         writer.forceFlush();
-        return pending(socket) < before;
+        return pendingBytes(socket) < before;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         selectorReported |= !readingAll;
-        bytes += ((ByteBuf) message).readableBytes();
+        bytesRead += ((ByteBuf) message).readableBytes();
         ctx.fireChannelRead(message);
     }
 
--- a/src/main/java/reedspring/net/StallProbe.java
+++ b/src/main/java/reedspring/net/StallProbe.java
@@ -102,20 +102,22 @@
         }
     }
 
-    /** Begins a unit of work, such as an event of a socket or a timer; {@link #is} may name it later. */
-    void begin(String name) {
+    /**
+     * Begins a unit of work, such as an event of a socket or a timer; {@link #nameWork} may name it later.
+     */
+    void beginWork(String name) {
         workBegan = nanoClock.getAsLong();
         markAwake(workBegan);
         workName = name;
     }
 
     /** Names the current unit of work more precisely. */
-    void is(String name) {
+    void nameWork(String name) {
         workName = name;
     }
 
     /** Ends the current unit of work. */
-    void end() {
+    void endWork() {
         long took = nanoClock.getAsLong() - workBegan;
         if (took > longestWork) {
             longestWork = took;
@@ -124,11 +126,11 @@
     }
 
     /** Start time of a decision, for {@link #decided}. */
-    long decides() {
+    long decisionStart() {
         return nanoClock.getAsLong();
     }
 
-    /** Notes the end of the decision on an event, with the start time from {@link #decides}. */
+    /** Notes the end of the decision on an event, with the start time from {@link #decisionStart}. */
     void decided(long since, Object event) {
         long took = nanoClock.getAsLong() - since;
         if (took > longestDecision) {
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ExecutionException;
 import org.tinylog.provider.ProviderRegistry;
 import reedspring.boot.InvalidConfigurationException;
-import reedspring.settings.StandingOrders;
+import reedspring.settings.InstallationSettings;
 
 /** Reads the configuration, starts the front on its event loop, and stops it when a signal asks for that. */
 public final class Startup {
@@ -39,7 +39,7 @@
      *
      * @return the exit code; the caller has to halt with it, as the event loop's thread is still alive
      */
-    public static int serve(Map<String, String> environment, StandingOrders settings)
+    public static int serve(Map<String, String> environment, InstallationSettings settings)
             throws InterruptedException {
         return serve(environment, new Installation(settings));
     }
@@ -74,7 +74,7 @@
             FrontConfiguration configuration =
                     FILE_READ_ATTEMPTS.call(() -> FrontConfiguration.read(path),
                             IOException.class::isInstance);
-            Turns turns = new Turns();
+            EventLoopTurns turns = new EventLoopTurns();
             EventLoop loop = LOOP_START_ATTEMPTS.call(() -> openEventLoop(turns), Startup::isUnavailable);
             LOOP_START_ATTEMPTS.call(() -> startThread(loop), Startup::isUnavailable);
             StartedFront started = startFront(loop, turns, configuration, features, termination);
@@ -92,7 +92,7 @@
                 front.log().line("each signal starts a new thread",
                         "this JVM does not allow replacing its signal handlers");
             }
-            front.log().once("front " + configuration.name() + " serves on",
+            front.log().info("front " + configuration.name() + " serves on",
                     configuration.listen().toString());
             loop.execute(() -> front.setListenerCloser(listener::close));
             listener.closeFuture().addListener(closed -> {
@@ -139,7 +139,7 @@
     }
 
     /** Creates an event loop with an open selector. */
-    private static EventLoop openEventLoop(Turns turns) throws UnavailableException {
+    private static EventLoop openEventLoop(EventLoopTurns turns) throws UnavailableException {
         try {
             return new MultiThreadIoEventLoopGroup(1, turns).next();
         } catch (IllegalStateException e) {
@@ -171,8 +171,8 @@
 
     private static Channel bind(EventLoop loop, Front front, FrontConfiguration configuration)
             throws UnavailableException, InterruptedException {
-        ChannelFuture bound = server(loop, front, configuration.limits()).bind(configuration.listen())
-                .await();
+        ChannelFuture bound = listenerBootstrap(loop, front, configuration.limits())
+                .bind(configuration.listen()).await();
         if (!bound.isSuccess()) {
             throw new UnavailableException("listen", bound.cause());
         }
@@ -190,7 +190,8 @@
         }
     }
 
-    private static StartedFront startFront(EventLoop loop, Turns turns, FrontConfiguration configuration,
+    private static StartedFront startFront(EventLoop loop, EventLoopTurns turns,
+                                           FrontConfiguration configuration,
                                            OptionalFeatures features, Termination termination)
             throws InterruptedException, InvalidConfigurationException {
         try {
@@ -202,7 +203,7 @@
                     features.install(front, loop, configuration.name());
                 }
                 termination.frontStarted(front);
-                return new StartedFront(front, follow(loop, front, configuration));
+                return new StartedFront(front, followJournal(loop, front, configuration));
             }).get();
         } catch (ExecutionException e) {
             if (e.getCause() instanceof InvalidConfigurationException error) {
@@ -213,7 +214,7 @@
     }
 
     /** Gives the front the engines of the configuration, and then the updates of the journal service. */
-    static Journal follow(EventLoop loop, Front front, FrontConfiguration configuration)
+    static Journal followJournal(EventLoop loop, Front front, FrontConfiguration configuration)
             throws InvalidConfigurationException {
         Journal journal = new Journal(loop, front, configuration.limits(), configuration.journal(),
                 ~configuration.seed());
@@ -243,7 +244,7 @@
         } catch (InvalidConfigurationException e) {
             logUnusable(loop, front, e);
         } catch (RuntimeException e) {
-            loop.execute(() -> front.log().fault("configuration can't be used, nothing changed", e));
+            loop.execute(() -> front.log().error("configuration can't be used, nothing changed", e));
         }
         return false;
     }
@@ -257,7 +258,7 @@
     /** Closes the spool and writes the last log lines, for a limited time, as the log may be blocked. */
     private static void closeFront(Front front, Reloads reloads) throws InterruptedException {
         if (front.keptAnswers() != null && !front.keptAnswers().close(SPOOL_CLOSE_TIMEOUT_MS)) {
-            front.log().once("spool not closed,", "its unfinished segments are checked at the next start");
+            front.log().info("spool not closed,", "its unfinished segments are checked at the next start");
         }
         reloads.finish(Startup::closeLog, LOG_CLOSE_TIMEOUT_MS);
     }
@@ -271,7 +272,7 @@
     }
 
     /** The listener, configured but not bound. */
-    static ServerBootstrap server(EventLoopGroup group, Front front, Limits limits) {
+    static ServerBootstrap listenerBootstrap(EventLoopGroup group, Front front, Limits limits) {
         AcceptGuard guard = new AcceptGuard(front);
         front.setAcceptGuard(guard);
         return new ServerBootstrap().group(group).channelFactory(FrontServerSocketChannel::new).handler(guard)
@@ -282,13 +283,14 @@
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
                         new WriteBufferWaterMark(limits.unsentBytes / 2, limits.unsentBytes))
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(256, limits.firstRead, limits.largestRead))
+                        new AdaptiveRecvByteBufAllocator(256, limits.initialReadBytes, limits.maxReadBytes))
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         ClientConnection client = new ClientConnection(front, guard.earliestArrival());
                         channel.pipeline().addLast(client.socketReads(),
-                                new FlushConsolidationHandler(limits.flushes, true), client.decoder(),
+                                new FlushConsolidationHandler(limits.maxMessagesPerWrite, true),
+                                client.decoder(),
                                         client);
                         if (!front.clientConnections().add(client)) {
                             channel.close();
--- a/src/main/java/reedspring/net/Submission.java
+++ b/src/main/java/reedspring/net/Submission.java
@@ -17,7 +17,7 @@
     /** The latest time at which it may be sent. */
     final long latestSendAt;
     EngineConnection connection;
-    Timers.Due timeoutTimer;
+    Timers.Timer timeoutTimer;
     boolean written;
     boolean ended;
     /** Set once the engine has finished the query: the pages, null where one is still missing. */
--- a/src/main/java/reedspring/net/Timers.java
+++ b/src/main/java/reedspring/net/Timers.java
@@ -19,10 +19,10 @@
     private final Log log;
     private final Limits limits;
     private final StallProbe probe;
-    private final Turns turns;
+    private final EventLoopTurns turns;
     private final Runnable runAfterSocketReads = this::runAfterSocketReads;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            Comparator.comparingLong((Due due) -> due.dueAt).thenComparingLong(due -> due.sequence));
+    private final PriorityQueue<Timer> queue = new PriorityQueue<>(
+            Comparator.comparingLong((Timer due) -> due.dueAt).thenComparingLong(due -> due.sequence));
     private long nextSequence;
     private Future<?> loopTask;
     private long loopTaskAt = Long.MAX_VALUE;
@@ -31,19 +31,19 @@
     private boolean stopped;
 
     /** A scheduled timer, which can be cancelled. */
-    static final class Due {
+    static final class Timer {
         private final long dueAt;
         private final long sequence;
         private final Runnable action;
 
-        private Due(long dueAt, long sequence, Runnable action) {
+        private Timer(long dueAt, long sequence, Runnable action) {
             this.dueAt = dueAt;
             this.sequence = sequence;
             this.action = action;
         }
     }
 
-    Timers(EventLoop loop, Turns turns, Clock clock, Log log, Limits limits, StallProbe probe) {
+    Timers(EventLoop loop, EventLoopTurns turns, Clock clock, Log log, Limits limits, StallProbe probe) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
@@ -54,8 +54,8 @@
     }
 
     /** Runs the action at a time of {@link Clock#now}. */
-    Due at(long time, Runnable action) {
-        Due due = new Due(time, nextSequence++, action);
+    Timer scheduleAt(long time, Runnable action) {
+        Timer due = new Timer(time, nextSequence++, action);
         if (!stopped) {
             queue.add(due);
             scheduleLoopTask();
@@ -74,12 +74,12 @@
     }
 
     /** Runs the action after a delay in ticks. */
-    Due in(long delayTicks, Runnable action) {
-        return at(clock.now() + delayTicks, action);
+    Timer scheduleIn(long delayTicks, Runnable action) {
+        return scheduleAt(clock.now() + delayTicks, action);
     }
 
     /** @param due may be null, which does nothing */
-    void cancel(Due due) {
+    void cancel(Timer due) {
         if (due != null) {
             queue.remove(due);
         }
@@ -114,7 +114,7 @@
             // Data that arrived during the stall may still be unread.
             overdueSince = Math.min(overdueSince, queue.peek().dueAt);
         }
-        if (latenessTicks > limits.stoodStill * 10L) {
+        if (latenessTicks > limits.stallMs * 10L) {
             // A timeout of a peer can be judged only once all data that has arrived is read: a pause of
             // this process must not be taken for silence of the peers. So timers run after the sockets.
             readSocketsFirst = true;
@@ -137,14 +137,14 @@
 
     private void runDue() {
         for (long now = clock.now(); !queue.isEmpty() && queue.peek().dueAt <= now; ) {
-            probe.begin("alarm");
+            probe.beginWork("alarm");
             try {
                 queue.poll().action.run();
             } catch (RuntimeException | Error e) {
                 // A failing timer must not keep the task below from being scheduled, or none would run again.
-                log.fault("a timer failed", e);
+                log.error("a timer failed", e);
             } finally {
-                probe.end();
+                probe.endWork();
             }
         }
         scheduleLoopTask();
--- a/src/main/java/reedspring/settings/Ini.java
+++ b/src/main/java/reedspring/settings/Ini.java
@@ -33,7 +33,7 @@
     private final Set<String> sections = new HashSet<>();
     private final List<String> faults = new ArrayList<>();
 
-    /** Reads and parses the file; {@link #end} completes the validation. */
+    /** Reads and parses the file; {@link #finish} completes the validation. */
     public Ini(Path path) throws SettingsException {
         name = path.getFileName().toString();
         file = new INIConfiguration();
@@ -78,7 +78,7 @@
     }
 
     /** A duration such as {@code 30s}, in ticks; one tick is a tenth of a millisecond. */
-    public long span(String section, String key, long defaultValue, long minimum, long maximum) {
+    public long duration(String section, String key, long defaultValue, long minimum, long maximum) {
         return number(section, key, defaultValue, minimum, maximum, text -> {
             Matcher m = DURATION.matcher(text);
             return !m.matches() ? null : (Long) (Long.parseLong(m.group(1)) * switch (m.group(2)) {
@@ -98,7 +98,7 @@
     }
 
     /** A percentage such as {@code 25%}, as a ratio from 0 to 1. */
-    public double part(String section, String key, double defaultValue) {
+    public double percentage(String section, String key, double defaultValue) {
         String text = text(section, key, null);
         if (text == null) {
             return defaultValue;
@@ -194,7 +194,7 @@
      *
      * @throws SettingsException with all errors, including sections and keys that were never requested
      */
-    public void end() throws SettingsException {
+    public void finish() throws SettingsException {
         for (String section : file.getSections()) {
             if (section == null) {
                 file.getKeys().forEachRemaining(key -> {
--- a/src/main/java/reedspring/settings/StandingOrders.java
+++ b/src/main/java/reedspring/settings/InstallationSettings.java
@@ -14,7 +14,7 @@
  * @param jsonLog whether log lines are JSON objects
  * @param spool settings of the spool that keeps answers, or null
  */
-public record StandingOrders(boolean jsonLog, SpoolOrders spool) {
+public record InstallationSettings(boolean jsonLog, SpoolSettings spool) {
     private static final long TICKS_PER_MS = 10;
     private static final long TICKS_PER_SECOND = 1000 * TICKS_PER_MS;
     private static final long TICKS_PER_DAY = 86_400 * TICKS_PER_SECOND;
@@ -32,7 +32,7 @@
      * @param terms limits and lifetimes of kept answers
      * @param group maximum time in ticks for which a commit waits for others to join it
      */
-    public record SpoolOrders(Path folder, List<byte[]> keys, Terms terms, long group) {
+    public record SpoolSettings(Path folder, List<byte[]> keys, Terms terms, long groupCommitTicks) {
         /** Leaves the keys out, so that they can't get into a log. */
         @Override
         public String toString() {
@@ -41,15 +41,15 @@
     }
 
     /** Reads and validates a settings file. */
-    public static StandingOrders read(Path file) throws SettingsException {
+    public static InstallationSettings read(Path file) throws SettingsException {
         Ini ini = new Ini(file);
         boolean json = ini.word("log", "format", "plain", List.of("plain", "json")).equals("json");
-        SpoolOrders spool = spool(ini);
-        ini.end();
-        return new StandingOrders(json, spool);
+        SpoolSettings spool = spool(ini);
+        ini.finish();
+        return new InstallationSettings(json, spool);
     }
 
-    private static SpoolOrders spool(Ini ini) {
+    private static SpoolSettings spool(Ini ini) {
         String section = "spool";
         if (!ini.has(section)) {
             return null;
@@ -67,21 +67,21 @@
         if (segment > total / 4) {
             ini.fault(section, "segment", "larger than a quarter of total, too large to free space in parts");
         }
-        double headroom = ini.part(section, "headroom", 0.1);
+        double headroom = ini.percentage(section, "headroom", 0.1);
         if (headroom > 0.9) {
             ini.fault(section, "headroom", "leaves no space for other answers");
         }
-        long firstRest = ini.span(section, "first_rest", TICKS_PER_SECOND, 10 * TICKS_PER_MS,
+        long firstRest = ini.duration(section, "first_rest", TICKS_PER_SECOND, 10 * TICKS_PER_MS,
                 600 * TICKS_PER_SECOND);
-        Terms terms = new Terms(total, ini.part(section, "tenant_part", 0.25), headroom,
-                ini.span(section, "keep", 600 * TICKS_PER_SECOND, TICKS_PER_SECOND, 30 * TICKS_PER_DAY),
+        Terms terms = new Terms(total, ini.percentage(section, "tenant_part", 0.25), headroom,
+                ini.duration(section, "keep", 600 * TICKS_PER_SECOND, TICKS_PER_SECOND, 30 * TICKS_PER_DAY),
                 longest, PAGE_BYTES, segment, ini.size(section, "waiting", 4 * MB, 64 * KB, GB),
                 (int) ini.count(section, "reads", 256, 1, 10_000),
                 (int) ini.count(section, "tenant_reads", 128, 1, 10_000), firstRest,
-                ini.span(section, "longest_rest", Math.max(60 * TICKS_PER_SECOND, firstRest), firstRest,
+                ini.duration(section, "longest_rest", Math.max(60 * TICKS_PER_SECOND, firstRest), firstRest,
                         3_600 * TICKS_PER_SECOND));
-        return new SpoolOrders(folder, keys, terms,
-                ini.span(section, "group_commit", 5 * TICKS_PER_MS, 0, TICKS_PER_SECOND));
+        return new SpoolSettings(folder, keys, terms,
+                ini.duration(section, "group_commit", 5 * TICKS_PER_MS, 0, TICKS_PER_SECOND));
     }
 
     private static void readKey(Ini ini, String section, String name, boolean required, List<byte[]> keys) {
--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -46,7 +46,7 @@
 
     /** One event loop's thread, for as many fronts as its thread can carry. */
     public static final class Loop implements Closeable {
-        private final Turns turns = new Turns();
+        private final EventLoopTurns turns = new EventLoopTurns();
         private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         private final EventLoop loop = group.next();
         private final long thread = on(() -> Thread.currentThread().getId());
@@ -115,7 +115,7 @@
         Log log = new Log(orders.limits(), this::line);
         Front made = new Front(on.loop, on.turns, orders.boot(), orders.limits(), log, orders.seed(),
                 Runner::new);
-        Journal follower = Startup.follow(on.loop, made, orders);
+        Journal follower = Startup.followJournal(on.loop, made, orders);
         return new Object[] {new SplittableRandom(orders.seed()), made, follower};
     }
 
@@ -132,7 +132,7 @@
     private void askLater() {
         if (perSecond > 0) {
             double span = -Math.log(1 - chance.nextDouble()) * 10_000 / perSecond;
-            front.timers().in(Math.max(1, Math.round(span)), () -> {
+            front.timers().scheduleIn(Math.max(1, Math.round(span)), () -> {
                 askLater();
                 ask(draws.apply(chance));
             });
@@ -199,7 +199,7 @@
             s.sentAt = of.clock().now();
             long work = s.query.takenEvent.estimate();
             long took = Math.max(1, Math.round(work * Math.exp(SCATTER * chance.nextGaussian())));
-            of.timers().in(took, () -> ends(engine, s, work));
+            of.timers().scheduleIn(took, () -> ends(engine, s, work));
         }
 
         private void ends(Id.Engine engine, Submission s, long work) {
--- a/src/rig/java/reedspring/net/JournalReading.java
+++ b/src/rig/java/reedspring/net/JournalReading.java
@@ -22,7 +22,7 @@
 
     /** What one event may hold before it is read past and not taken, bytes. */
     public static int most() throws InvalidConfigurationException {
-        return new Limits(new DeploymentReader(Map.of()), 1024, 256).journalBytes;
+        return new Limits(new DeploymentReader(Map.of()), 1024, 256).maxJournalEventBytes;
     }
 
     /** Under which numbers of descriptors and megabytes a front holds how much. */
--- a/src/rig/java/reedspring/rig/fleet/Timetable.java
+++ b/src/rig/java/reedspring/rig/fleet/Timetable.java
@@ -193,8 +193,8 @@
         Timetable read = new Timetable(file.getFileName().toString(), fronts, engines,
                 (int) ini.count(it, "sites", 1, 1, 26), sizes(ini, it),
                 ini.size(it, "memory", 4L << 30, 1 << 20, 1L << 50) / (double) (1 << 20),
-                ini.span(it, "length", 10 * SECOND, SECOND, 600 * SECOND),
-                ini.span(it, "settle", 5 * SECOND, 0, 60 * SECOND),
+                ini.duration(it, "length", 10 * SECOND, SECOND, 600 * SECOND),
+                ini.duration(it, "settle", 5 * SECOND, 0, 60 * SECOND),
                 ini.count(it, "queries_a_second", 80, 0, 100_000), mix(ini, it),
                 (int) ini.count(it, "busy_fronts", 0, 0, fronts), ini.count(it, "busy_times", 1, 1, 100),
                 (int) ini.count(it, "sessions", 200, 1, 100_000), (int) ini.count(it, "patience", 3, 1, 60),
@@ -208,13 +208,13 @@
                 ini.fault(entry.title, "engines", "'" + entry.engines + "' chooses nobody");
             }
         }
-        ini.end();
+        ini.finish();
         return read;
     }
 
     private static Mix mix(Ini ini, String it) {
-        double shortMs = ini.span(it, "short_work", 1_200, 10, 600 * SECOND) / 10.0;
-        double longMs = ini.span(it, "long_work", 9_000, 10, 600 * SECOND) / 10.0;
+        double shortMs = ini.duration(it, "short_work", 1_200, 10, 600 * SECOND) / 10.0;
+        double longMs = ini.duration(it, "long_work", 9_000, 10, 600 * SECOND) / 10.0;
         double shortMb = ini.size(it, "short_need", 60 << 20, 0, 1L << 50) / (double) (1 << 20);
         double longMb = ini.size(it, "long_need", 250 << 20, 0, 1L << 50) / (double) (1 << 20);
         return new Mix((int) ini.count(it, "long_one_in", 8, 1, MOST),
@@ -231,11 +231,11 @@
             ini.fault(section, "what", "missing");
         }
         String link = ini.word(section, "link", "engine", List.of("client", "engine", "journal"));
-        return new Entry(section, ini.span(section, "at", 0, 0, 600 * SECOND),
-                ini.span(section, "for", 0, 0, 600 * SECOND),
+        return new Entry(section, ini.duration(section, "at", 0, 0, 600 * SECOND),
+                ini.duration(section, "for", 0, 0, 600 * SECOND),
                 What.values()[Math.max(0, words.indexOf(what))], Link.valueOf(link.toUpperCase()),
                 ini.any(section, "fronts", "all"), ini.any(section, "engines", "all"),
-                ini.span(section, "by", 0, 0, 60 * SECOND),
+                ini.duration(section, "by", 0, 0, 60 * SECOND),
                 factor(ini, section), ini.size(section, "rate", 1 << 20, 1, 1L << 40));
     }
 
--- a/src/test/java/reedspring/net/AcceptIT.java
+++ b/src/test/java/reedspring/net/AcceptIT.java
@@ -15,7 +15,7 @@
 import reedspring.rig.Program;
 
 /** A started front whose socket calls fail now and then; issue 43, docs/incidents/accept-pause.md. */
-class AcceptIT extends Started {
+class AcceptIT extends StartedFrontTest {
     private static final int QUERIES = 120;
     /** A hundred times the usual duration of a query here, and a tenth of the pause in the incident. */
     private static final long MAX_QUERY_MS = 300;
--- a/src/test/java/reedspring/net/CodecTest.java
+++ b/src/test/java/reedspring/net/CodecTest.java
@@ -276,8 +276,8 @@
         monotonic[0] += 2_000_000;
         assertEquals(5_000_020, clock.now());
         // A time from another machine, whose clock jumped as well: one second ago.
-        assertEquals(5_000_020 - 10_000, clock.ofUnixMs((unix[0] - 10_000) / 10));
-        assertEquals(0, clock.ofUnixMs(0), "long ago");
+        assertEquals(5_000_020 - 10_000, clock.engineStartFromUnixMs((unix[0] - 10_000) / 10));
+        assertEquals(0, clock.engineStartFromUnixMs(0), "long ago");
     }
 
     /**
@@ -296,7 +296,7 @@
                 monotonic[0] += 60 * second * 100_000;
                 long expected = clock.now() - second;
                 long reported = unix[0] - second - (allMachines ? 0 : step);
-                long started = clock.ofUnixMs(reported / 10);
+                long started = clock.engineStartFromUnixMs(reported / 10);
                 assertTrue(started >= expected && started <= clock.now(), "step " + step + ", everywhere "
                         + allMachines + ": " + (started - expected) + " after the truth");
             }
--- a/src/test/java/reedspring/net/CrossingsIT.java
+++ b/src/test/java/reedspring/net/CrossingsIT.java
@@ -28,7 +28,7 @@
  * Races between two events, found by fault injection before production: docs/incidents/fault-hunt.md has a
  * row for each.
  */
-class CrossingsIT extends Started {
+class CrossingsIT extends StartedFrontTest {
     private static final byte[] INVALID_MESSAGEPACK = {(byte) 0xc1, (byte) 0xc1};
 
     /** An engine that answers nothing by itself and collects its fetch commands. */
--- a/src/test/java/reedspring/net/DeadlineIT.java
+++ b/src/test/java/reedspring/net/DeadlineIT.java
@@ -16,7 +16,7 @@
  * The deadline sent to an engine must not exceed the time that the client has left, even if the front was
  * stalled when the query arrived. Guards against issue 43, see docs/incidents/deadline-new-connection.md.
  */
-class DeadlineIT extends Started {
+class DeadlineIT extends StartedFrontTest {
     private static final int CLIENT_TIMEOUT_MS = 3_000;
     private static final long MAX_EXCESS_MS = 20;
     private static final int[] STALLS_MS = {0, 24, 200, 700, 1_500};
--- a/src/test/java/reedspring/net/DeadlineMissesIT.java
+++ b/src/test/java/reedspring/net/DeadlineMissesIT.java
@@ -11,7 +11,7 @@
 import reedspring.rig.EngineStandIn;
 
 /** Each query answered late, or never, is logged with its steps; docs/on-call.md describes the lines. */
-class DeadlineMissesIT extends Started {
+class DeadlineMissesIT extends StartedFrontTest {
     /** Long enough that a front just started is stopped before it would defer the query in time. */
     private static final int CLIENT_TIMEOUT_MS = 1_500;
     private static final int MAX_LOGGED = 8;
--- a/src/test/java/reedspring/net/EndingsIT.java
+++ b/src/test/java/reedspring/net/EndingsIT.java
@@ -30,7 +30,7 @@
  * Connections, clients, submissions and the process end while answers are outstanding or in transit. The
  * stand-in on the other side forces each race. docs/endings.md has a row for each.
  */
-class EndingsIT extends Started {
+class EndingsIT extends StartedFrontTest {
     private static final byte[] HEARTBEAT = Client.pack(List.of(0, 99, "heartbeat", List.of(Map.of())));
 
     /** Starts the program with one engine and one text of its configuration replaced. */
--- a/src/test/java/reedspring/net/FailingCallsIT.java
+++ b/src/test/java/reedspring/net/FailingCallsIT.java
@@ -19,7 +19,7 @@
 import reedspring.rig.Program;
 
 /** System calls that fail during start, registration of a socket, or shutdown; issue 47. */
-class FailingCallsIT extends Started {
+class FailingCallsIT extends StartedFrontTest {
     private static final int MANY_FAILURES = 1_000;
     /** A front has to be ready within 10 s, and a start that fails for good ends well before. */
     private static final int START_S = 10;
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -50,7 +50,7 @@
 import reedspring.rig.Program;
 
 /** Starts the built program with the command line of the deploy file and tests it over loopback sockets. */
-class FrontIT extends Started {
+class FrontIT extends StartedFrontTest {
     private static final int QUERIES_PER_CLIENT = 12;
     /** The specification allows 70; the test machine may be busy. */
     private static final int MAX_LATE_MS = 400;
@@ -360,7 +360,7 @@
     @Example
     void thePriorityOfARunningSubmissionCanBeChanged() throws Exception {
         EngineStandIn engine = silentEngine();
-        Turns turns = new Turns();
+        EventLoopTurns turns = new EventLoopTurns();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
@@ -380,7 +380,7 @@
             connection.send(s);
             connection.dial(new Bootstrap().group(loop).channel(NioSocketChannel.class),
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), engine.port()));
-            localFront.timers().in(2_000, () -> {
+            localFront.timers().scheduleIn(2_000, () -> {
                 q.priority = 3;
                 connection.renice(s);
             });
--- a/src/test/java/reedspring/net/ListsIT.java
+++ b/src/test/java/reedspring/net/ListsIT.java
@@ -29,7 +29,7 @@
 import reedspring.rig.Program;
 
 /** Sends large and unusual engine lists to the built program while a client keeps sending queries. */
-class ListsIT extends Started {
+class ListsIT extends StartedFrontTest {
     private static final int SMALL_LIST = 2_500;
     private static final int LARGE_LIST = 25_000;
     /** The memory that the capacity plan for two years ahead allows a front. */
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -63,7 +63,7 @@
     }
 
     private void start(int maxSubmissions, String effect) throws Exception {
-        Turns turns = new Turns();
+        EventLoopTurns turns = new EventLoopTurns();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         loop = group.next();
@@ -103,8 +103,8 @@
             front.enginesListed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
             return null;
         });
-        return ((InetSocketAddress) Startup.server(loop, front, limits).bind("127.0.0.1", 0).sync().channel()
-                .localAddress()).getPort();
+        return ((InetSocketAddress) Startup.listenerBootstrap(loop, front, limits).bind("127.0.0.1", 0).sync()
+                .channel().localAddress()).getPort();
     }
 
     private static List<?> ask(Client client, int id, int patienceMs) throws IOException {
@@ -202,9 +202,9 @@
     @Example
     void unboundListenerDoesNotStopConnectionChecks() throws Exception {
         int port = startListener(open(new EngineStandIn(EngineStandIn.pages(1))));
-        onLoop(() -> Startup.server(loop, front, limits));
+        onLoop(() -> Startup.listenerBootstrap(loop, front, limits));
         Client silent = open(new Client(port));
-        silent.socket.setSoTimeout(limits.tick * (limits.silentTicks + 6));
+        silent.socket.setSoTimeout(limits.tickMs * (limits.silentTicks + 6));
         assertTrue(silent.ended(), "the silent client is disconnected");
     }
 
@@ -221,7 +221,7 @@
 
     private static Host listed(String name, EngineStandIn engine, Event.Health health) throws Exception {
         return new Host(new Event.Listing(new Id.Engine(name), new Id.Kind("m"), new Id.Zone("a"),
-                new Id.Cell(0), health, 0), FrontConfiguration.address(engine.address(), "dial"), 0);
+                new Id.Cell(0), health, 0), FrontConfiguration.parseAddress(engine.address(), "dial"), 0);
     }
 
     /** Requests arrive, then an engine's drain notice; both are in the sockets when the loop resumes. */
@@ -235,12 +235,12 @@
         journal.tell(true, host("e0", drained.address(), "ready"), host("e1", other.address(), "ready"));
         onLoop(() -> {
             Journal follower = new Journal(loop, front, limits,
-                    FrontConfiguration.address(journal.address(), "journal"), 1);
+                    FrontConfiguration.parseAddress(journal.address(), "journal"), 1);
             front.setJournalReader(follower::readNow);
             follower.connect();
             return null;
         });
-        InetSocketAddress listen = (InetSocketAddress) Startup.server(loop, front, limits)
+        InetSocketAddress listen = (InetSocketAddress) Startup.listenerBootstrap(loop, front, limits)
                 .bind("127.0.0.1", 0).sync().channel().localAddress();
         List<Client> clients = new ArrayList<>();
         for (int k = 0; k < 12; k++) {
@@ -275,7 +275,7 @@
     void descriptorLimitsKeepTheJournalReachable() throws Exception {
         for (int sockets = 64; sockets <= 4_096; sockets++) {
             Limits each = new Limits(new DeploymentReader(SETTINGS), sockets, 192);
-            int shared = each.clientConnections + each.allEngineConnections + each.lingering;
+            int shared = each.clientConnections + each.allEngineConnections + each.maxLingering;
             assertTrue(sockets - shared >= 40 && each.clientConnections > 0 && each.allEngineConnections > 0,
                     shared + " of " + sockets);
             // Clients may use a third of the descriptors, unless there are few.
@@ -294,7 +294,7 @@
         }
         Journal follower = onLoop(() -> {
             Journal made = new Journal(loop, front, limits,
-                    FrontConfiguration.address(journal.address(), "journal"), 1);
+                    FrontConfiguration.parseAddress(journal.address(), "journal"), 1);
             made.connect();
             return made;
         });
@@ -374,7 +374,8 @@
                 blocked.countDown();
                 awaitLatch(release);
             }, 1, TimeUnit.MILLISECONDS);
-            front.timers().in(20, () -> order.add(client.outboundMessages().isEmpty() ? "alarm" : "answer"));
+            front.timers().scheduleIn(20,
+                    () -> order.add(client.outboundMessages().isEmpty() ? "alarm" : "answer"));
             sleep(20);
         });
     }
--- a/src/test/java/reedspring/net/ShortDeadlinesIT.java
+++ b/src/test/java/reedspring/net/ShortDeadlinesIT.java
@@ -21,7 +21,7 @@
  * Shutdown with short deadlines: SIGKILL follows 0.7 s after the longest one, and clients use their
  * connections for as long as these are open.
  */
-class ShortDeadlinesIT extends Started {
+class ShortDeadlinesIT extends StartedFrontTest {
     private static final int[] DEADLINES_MS = {100, 300, 1_200};
     private static final long SIGKILL_AFTER_DEADLINE_MS = 700;
     /** A request sent this shortly before the close may cross it; its client sends it again. */
--- a/src/test/java/reedspring/net/SpoolIT.java
+++ b/src/test/java/reedspring/net/SpoolIT.java
@@ -24,7 +24,7 @@
 import reedspring.rig.Program;
 
 /** Runs the built program with a spool: answers are kept, read page by page, and survive a kill. */
-class SpoolIT extends Started {
+class SpoolIT extends StartedFrontTest {
     private static final int PAGES = 40;
     private static final int QUERY_TIMEOUT_MS = 9_000;
 
--- a/src/test/java/reedspring/net/StallProbeTest.java
+++ b/src/test/java/reedspring/net/StallProbeTest.java
@@ -63,9 +63,9 @@
         for (int k = 0; k < 200; k++) {
             probe.beginTurn(250 * MS);
             advance(k % 2 == 0 ? 250 : 30);
-            probe.begin("socket");
+            probe.beginWork("socket");
             advance(10, 10);
-            probe.end();
+            probe.endWork();
             probe.socketsRead();
             advance(20, 20);
         }
@@ -77,8 +77,8 @@
         StallProbe probe = probe();
         probe.beginTurn(100 * MS);
         advance(400, 0, 290);
-        probe.begin("alarm");
-        probe.end();
+        probe.beginWork("alarm");
+        probe.endWork();
         probe.socketsRead();
         probe.beginTurn(0);
         assertEquals(1, lines.size());
@@ -92,16 +92,16 @@
         StallProbe probe = probe();
         probe.beginTurn(250 * MS);
         advance(10);
-        probe.begin("socket");
+        probe.beginWork("socket");
         advance(5, 5);
-        probe.end();
-        probe.begin("socket");
-        probe.is("engine answer");
-        long began = probe.decides();
+        probe.endWork();
+        probe.beginWork("socket");
+        probe.nameWork("engine answer");
+        long began = probe.decisionStart();
         advance(80, 80);
         probe.decided(began, "an event");
         advance(30, 30);
-        probe.end();
+        probe.endWork();
         probe.socketsRead();
         probe.beginTurn(0);
         assertTrue(lines.get(0).startsWith("event loop stalled, long turn: 115 ms; in 125 ms ran 115, "),
@@ -121,7 +121,7 @@
             probe.beginTurn(0);
             advance(100);
         }
-        log.sum();
+        log.endInterval();
         assertEquals("event loop stalled, stopped or blocked: ", lines.get(1));
         probe.beginTurn(0);
         assertEquals(3, lines.size());
--- a/src/test/java/reedspring/net/StallsIT.java
+++ b/src/test/java/reedspring/net/StallsIT.java
@@ -25,7 +25,7 @@
 import reedspring.rig.Program;
 
 /** Forces stalls on an event loop of this process and in a started front, and checks the log lines. */
-class StallsIT extends Started {
+class StallsIT extends StartedFrontTest {
     /** Enough stops to reach past one log interval. */
     private static final int MAX_STOPS = 12;
     private final List<String> logLines = new CopyOnWriteArrayList<>();
@@ -36,7 +36,7 @@
     }
 
     private EventLoop startLoop() throws Exception {
-        Turns turns = new Turns();
+        EventLoopTurns turns = new EventLoopTurns();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
@@ -52,7 +52,7 @@
                 1)).get();
         // The probe looks up the JVM's other threads 2 s after its start.
         Thread.sleep(2_600);
-        loop.submit(() -> localFront.log().sum()).get();
+        loop.submit(() -> localFront.log().endInterval()).get();
         logLines.clear();
         return loop;
     }
@@ -81,7 +81,7 @@
     @Example
     void longTimer() throws Exception {
         EventLoop loop = startLoop();
-        String line = stallLine(loop, () -> localFront.timers().in(100, () -> {
+        String line = stallLine(loop, () -> localFront.timers().scheduleIn(100, () -> {
             for (long end = System.nanoTime() + 300_000_000L; System.nanoTime() < end; ) {
                 Thread.onSpinWait();
             }
--- a/src/test/java/reedspring/net/Started.java
+++ b/src/test/java/reedspring/net/StartedFrontTest.java
@@ -14,7 +14,7 @@
 import reedspring.rig.Program;
 
 /** Base of tests that start the program: starts and closes it, its engines and its journal service. */
-abstract class Started {
+abstract class StartedFrontTest {
     static final int PATIENCE = 5000;
 
     final List<AutoCloseable> opened = new ArrayList<>();
--- a/src/test/java/reedspring/net/UsedTracesIT.java
+++ b/src/test/java/reedspring/net/UsedTracesIT.java
@@ -14,7 +14,7 @@
  * A client sends another client's trace with a statement of its own. Engines identify a query by its trace,
  * so the front must not send them a second statement under a trace that was already used.
  */
-class UsedTracesIT extends Started {
+class UsedTracesIT extends StartedFrontTest {
     private static final String OWN = "select 1";
     private static final String FOREIGN = "select 2";
 
--- a/src/test/java/reedspring/settings/SettingsTest.java
+++ b/src/test/java/reedspring/settings/SettingsTest.java
@@ -23,8 +23,8 @@
         key = Files.write(folder.resolve("key"), new byte[32]);
     }
 
-    private StandingOrders read(String text) throws Exception {
-        return StandingOrders.read(Files.writeString(folder.resolve("own.ini"), text));
+    private InstallationSettings read(String text) throws Exception {
+        return InstallationSettings.read(Files.writeString(folder.resolve("own.ini"), text));
     }
 
     private List<String> faults(String text) throws Exception {
@@ -40,7 +40,7 @@
 
     @Example
     void valuesHaveUnitsAndDefaultsFollowTheTotal() throws Exception {
-        StandingOrders.SpoolOrders spool = read("[spool]\nfolder = " + folder + "\nkey_file = " + key
+        InstallationSettings.SpoolSettings spool = read("[spool]\nfolder = " + folder + "\nkey_file = " + key
                 + "\ntotal = 64MB\ntenant_part = 12.5 %\nkeep = 2h\nwaiting = 512 kB\nreads = 7\n"
                 + "group_commit = 20ms\n").spool();
         assertEquals(64L << 20, spool.terms().total());
@@ -49,7 +49,7 @@
         assertEquals(512 << 10, spool.terms().inMemory());
         assertEquals(4L << 20, spool.terms().segmentBytes());
         assertEquals(7, spool.terms().reads());
-        assertEquals(200, spool.group());
+        assertEquals(200, spool.groupCommitTicks());
         assertEquals(1, spool.keys().size());
         assertTrue(spool.toString().contains("1 keys"), spool::toString);
     }
@@ -91,8 +91,8 @@
         assertTrue(faults("[spool]\nfolder=" + folder + "\nkey_file=" + shorter).toString()
                 .contains("key_file: 16 to 4096 bytes"));
         assertTrue(faults("total = 5\n").toString().contains("total"));
-        assertTrue(assertThrows(SettingsException.class, () -> StandingOrders.read(folder.resolve("none")))
-                .getMessage().contains("can't be read"));
+        assertTrue(assertThrows(SettingsException.class,
+                () -> InstallationSettings.read(folder.resolve("none"))).getMessage().contains("can't be read"));
     }
 
     /** Random text is either accepted or reported as a {@link SettingsException}. */
