--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -14,28 +14,28 @@
 import reedspring.settings.InstallationSettings.SpoolSettings;
 import reedspring.spool.AnswerId;
 import reedspring.spool.Handle;
-import reedspring.spool.Handles;
+import reedspring.spool.HandleCodec;
 import reedspring.spool.Spool;
-import reedspring.spool.Step;
-import reedspring.spool.Terms;
-import reedspring.spool.Word;
+import reedspring.spool.SpoolAction;
+import reedspring.spool.SpoolLimits;
+import reedspring.spool.SpoolEvent;
 import reedspring.spool.store.FileDisk;
-import reedspring.spool.store.Keeper;
-import reedspring.spool.store.Store;
+import reedspring.spool.store.StoreWorker;
+import reedspring.spool.store.SegmentStore;
 
 /**
  * Connects the spool, which keeps answers on disk, to the front. Delivers what engines and clients send to
  * the spool, and performs the steps that it asks for, on the loop or by its disk threads. Confined to the
  * event loop, except {@link #close}.
  */
-final class KeptAnswers implements Keeper.Listener {
+final class KeptAnswers implements StoreWorker.Listener {
     private static final String UNKNOWN_HANDLE = "no such handle";
 
     private final Front front;
-    private final Terms terms;
+    private final SpoolLimits terms;
     private final Spool spool;
-    private final Keeper keeper;
-    private final Handles handles;
+    private final StoreWorker keeper;
+    private final HandleCodec handles;
     private final Map<Id.Query, Submission> submissionsByQuery = new HashMap<>();
     private final Map<AnswerId, Submission> submissionsByAnswer = new HashMap<>();
     private final Map<Long, PageRead> pageReads = new HashMap<>();
@@ -46,7 +46,7 @@
     private long lastReadId;
 
     /** An event for the spool, with the text of the page if it brings one, else null. */
-    private record QueuedWord(Word word, ByteBuffer text) {
+    private record QueuedWord(SpoolEvent word, ByteBuffer text) {
     }
 
     /** A client's request for a page, until it is answered. */
@@ -56,12 +56,12 @@
     /** Opens the spool folder. The disk threads scan it in the background; no answer is kept until then. */
     KeptAnswers(Front front, EventLoop loop, String name, SpoolSettings orders) throws IOException {
         this.front = front;
-        this.terms = orders.terms();
-        this.handles = new Handles(name, orders.keys());
+        this.terms = orders.limits();
+        this.handles = new HandleCodec(name, orders.keys());
         SecureRandom random = new SecureRandom();
         this.spool = new Spool(terms, random::nextLong);
-        this.keeper = new Keeper(new Store(new FileDisk(orders.folder(), true), name, terms.pageBytes()),
-                loop,
+        this.keeper = new StoreWorker(new SegmentStore(new FileDisk(orders.folder(), true), name,
+                terms.pageBytes()), loop,
                 this, orders.groupCommitTicks());
         keeper.start();
     }
@@ -72,14 +72,14 @@
     }
 
     void tick() {
-        deliver(new Word.Tick());
+        deliver(new SpoolEvent.Tick());
     }
 
-    private void deliver(Word word) {
+    private void deliver(SpoolEvent word) {
         deliver(word, null);
     }
 
-    private void deliver(Word word, ByteBuffer text) {
+    private void deliver(SpoolEvent word, ByteBuffer text) {
         queuedWords.add(new QueuedWord(word, text));
         if (delivering) {
             return;
@@ -88,7 +88,7 @@
         try {
             for (QueuedWord next = queuedWords.poll(); next != null; next = queuedWords.poll()) {
                 currentPageText = next.text();
-                spool.on(front.clock().now(), next.word(), this::performStep);
+                spool.onEvent(front.clock().now(), next.word(), this::performStep);
             }
         } finally {
             currentPageText = null;
@@ -102,7 +102,7 @@
     void offerAnswer(Submission s) {
         OpenQuery q = s.query;
         submissionsByQuery.put(q.id, s);
-        deliver(new Word.Began(q.id, q.tenant, q.repeatable, s.pageCount));
+        deliver(new SpoolEvent.AnswerAnnounced(q.id, q.tenant, q.repeatable, s.pageCount));
     }
 
     /** Passes a page of an answer to the spool, if it keeps that answer. */
@@ -114,14 +114,14 @@
         ByteBuffer copy = ByteBuffer.allocate(text.readableBytes());
         text.getBytes(text.readerIndex(), copy);
         copy.flip();
-        deliver(new Word.PageCame(s.keptAnswerId, page, copy.remaining()), copy);
+        deliver(new SpoolEvent.PageReceived(s.keptAnswerId, page, copy.remaining()), copy);
     }
 
     /** Ends a submission, whether or not its answer is kept. */
     void submissionEnded(Submission s) {
         submissionsByQuery.remove(s.query.id, s);
         if (s.keptAnswerId != null && submissionsByAnswer.remove(s.keptAnswerId) != null) {
-            deliver(new Word.QueryOver(s.keptAnswerId));
+            deliver(new SpoolEvent.QueryEnded(s.keptAnswerId));
         }
     }
 
@@ -141,7 +141,7 @@
         }
         long readId = ++lastReadId;
         pageReads.put(readId, new PageRead(client, messageId, handle, page));
-        deliver(new Word.Asked(readId, handle, page));
+        deliver(new SpoolEvent.PageRequested(readId, handle, page));
     }
 
     void release(ClientConnection client, long messageId, Map<String, String> fields) {
@@ -150,45 +150,45 @@
             client.sendError(messageId, UNKNOWN_HANDLE);
             return;
         }
-        deliver(new Word.Released(handle));
+        deliver(new SpoolEvent.AnswerReleased(handle));
         client.confirmRelease(messageId);
     }
 
     private Handle readHandle(Map<String, String> fields) {
         String text = fields.get("handle");
         String tenant = fields.get("customer");
-        return text == null || tenant == null ? null : handles.read(text, tenant);
+        return text == null || tenant == null ? null : handles.decode(text, tenant);
     }
 
     // ---- what the spool asks for
 
     /** Performs a step that the spool asks for. */
-    private void performStep(Step step) {
-        if (step instanceof Step.Take take) {
+    private void performStep(SpoolAction step) {
+        if (step instanceof SpoolAction.AcceptAnswer take) {
             Submission s = submissionsByQuery.get(take.query());
             s.keptAnswerId = take.answer();
             submissionsByAnswer.put(take.answer(), s);
             pageReceived(s, 0, s.pages[0]);
-        } else if (step instanceof Step.Refuse refuse) {
-            front.log().line("answer not kept", refuse.why());
+        } else if (step instanceof SpoolAction.RefuseAnswer refuse) {
+            front.log().line("answer not kept", refuse.reason());
             endNotKept(submissionsByQuery.get(refuse.query()));
-        } else if (step instanceof Step.Lost lost) {
-            front.log().line("answer not kept", lost.why());
+        } else if (step instanceof SpoolAction.FailAnswer lost) {
+            front.log().line("answer not kept", lost.reason());
             Submission s = submissionsByAnswer.remove(lost.answer());
             endNotKept(s);
-        } else if (step instanceof Step.AskPage ask) {
+        } else if (step instanceof SpoolAction.FetchPage ask) {
             Submission s = submissionsByAnswer.get(ask.answer());
             if (s != null) {
                 s.connection.requestPage(s, ask.page());
             }
-        } else if (step instanceof Step.Kept kept) {
+        } else if (step instanceof SpoolAction.CompleteAnswer kept) {
             endKept(kept);
-        } else if (step instanceof Step.Say say) {
+        } else if (step instanceof SpoolAction.RejectRead say) {
             answerFailedRead(say);
-        } else if (step instanceof Step.Remark remark) {
+        } else if (step instanceof SpoolAction.LogMessage remark) {
             front.log().warnText("spool", remark.text());
         } else {
-            keeper.accept(step, step instanceof Step.Write ? currentPageText : null);
+            keeper.accept(step, step instanceof SpoolAction.WritePage ? currentPageText : null);
         }
     }
 
@@ -201,29 +201,29 @@
     }
 
     /** Ends a submission whose answer is complete on disk, and creates its handle. */
-    private void endKept(Step.Kept kept) {
+    private void endKept(SpoolAction.CompleteAnswer kept) {
         Submission s = submissionsByAnswer.remove(kept.answer());
         if (s != null) {
             OpenQuery q = s.query;
-            s.handle = handles.write(new Handle(kept.answer(), q.tenant, q.repeatable, kept.expiresAt()));
+            s.handle = handles.encode(new Handle(kept.answer(), q.tenant, q.repeatable, kept.expiresAt()));
             s.keptForMs = (kept.expiresAt() - front.clock().now()) / 10;
             front.submissionEnded(s, Outcome.FINISHED);
         }
     }
 
     /** Answers a client's request for a page that can't be read. */
-    private void answerFailedRead(Step.Say say) {
-        PageRead pageRead = pageReads.remove(say.reader());
+    private void answerFailedRead(SpoolAction.RejectRead say) {
+        PageRead pageRead = pageReads.remove(say.readId());
         String reasonText = switch (say.reason()) {
             case EXPIRED -> "the answer has expired";
             case GONE -> "the answer is not kept any more";
-            case DAMAGED -> "the answer can't be read any more";
+            case CORRUPT -> "the answer can't be read any more";
             case NO_SUCH_PAGE -> "no such page";
             case BUSY -> "too many pages are being read";
         };
-        if (say.reason() == Step.Reason.BUSY) {
-            pageRead.client().deferPageRead(pageRead.messageId(), say.comeBack() / 10, reasonText);
-        } else if (say.reason() != Step.Reason.NO_SUCH_PAGE && pageRead.handle().repeatable()) {
+        if (say.reason() == SpoolAction.Reason.BUSY) {
+            pageRead.client().deferPageRead(pageRead.messageId(), say.retryAfter() / 10, reasonText);
+        } else if (say.reason() != SpoolAction.Reason.NO_SUCH_PAGE && pageRead.handle().repeatable()) {
             pageRead.client().shedPageRead(pageRead.messageId(), reasonText);
         } else {
             pageRead.client().failPageRead(pageRead.messageId(), reasonText);
@@ -231,7 +231,7 @@
     }
 
     @Override
-    public void word(Word word) {
+    public void onEvent(SpoolEvent word) {
         try {
             deliver(word);
         } catch (RuntimeException | Error e) {
@@ -240,7 +240,7 @@
     }
 
     @Override
-    public void page(long readId, ByteBuffer text) {
+    public void onPage(long readId, ByteBuffer text) {
         PageRead pageRead = pageReads.remove(readId);
         if (pageRead != null) {
             pageRead.client().sendPage(pageRead.messageId(), pageRead.page(), Unpooled.wrappedBuffer(text));
--- a/src/main/java/reedspring/settings/InstallationSettings.java
+++ b/src/main/java/reedspring/settings/InstallationSettings.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import reedspring.spool.Terms;
+import reedspring.spool.SpoolLimits;
 
 /**
  * An installation's optional features, from its own INI file. A feature without a section in the file is null
@@ -29,14 +29,14 @@
      *
      * @param folder directory of the kept answers
      * @param keys keys of the handles; the first one signs new handles
-     * @param terms limits and lifetimes of kept answers
-     * @param group maximum time in ticks for which a commit waits for others to join it
+     * @param limits limits and lifetimes of kept answers
+     * @param groupCommitTicks maximum time in ticks for which a commit waits for others to join it
      */
-    public record SpoolSettings(Path folder, List<byte[]> keys, Terms terms, long groupCommitTicks) {
+    public record SpoolSettings(Path folder, List<byte[]> keys, SpoolLimits limits, long groupCommitTicks) {
         /** Leaves the keys out, so that they can't get into a log. */
         @Override
         public String toString() {
-            return "spool in " + folder + ", " + keys.size() + " keys, " + terms;
+            return "spool in " + folder + ", " + keys.size() + " keys, " + limits;
         }
     }
 
@@ -73,7 +73,7 @@
         }
         long firstRest = ini.duration(section, "first_rest", TICKS_PER_SECOND, 10 * TICKS_PER_MS,
                 600 * TICKS_PER_SECOND);
-        Terms terms = new Terms(total, ini.percentage(section, "tenant_part", 0.25), headroom,
+        SpoolLimits terms = new SpoolLimits(total, ini.percentage(section, "tenant_part", 0.25), headroom,
                 ini.duration(section, "keep", 600 * TICKS_PER_SECOND, TICKS_PER_SECOND, 30 * TICKS_PER_DAY),
                 longest, PAGE_BYTES, segment, ini.size(section, "waiting", 4 * MB, 64 * KB, GB),
                 (int) ini.count(section, "reads", 256, 1, 10_000),
--- a/src/main/java/reedspring/spool/Handles.java
+++ b/src/main/java/reedspring/spool/HandleCodec.java
@@ -18,7 +18,7 @@
  *
  * <p>The first key signs; every key verifies, so that keys can be rotated while handles are in use.
  */
-public final class Handles {
+public final class HandleCodec {
     private static final byte VERSION = 1;
     private static final int PAYLOAD_BYTES = 1 + 1 + 1 + 16 + 8;
     private static final int MAC_BYTES = 16;
@@ -29,7 +29,7 @@
     private final byte[] front;
 
     /** @throws IllegalArgumentException if there is no key, or a key is shorter than 16 bytes */
-    public Handles(String front, List<byte[]> keys) {
+    public HandleCodec(String front, List<byte[]> keys) {
         if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
             throw new IllegalArgumentException("handles need a key of at least " + MIN_KEY_BYTES + " bytes");
         }
@@ -37,7 +37,7 @@
         this.keys = keys.stream().map(byte[]::clone).toList();
     }
 
-    public String write(Handle handle) {
+    public String encode(Handle handle) {
         byte[] key = keys.get(0);
         ByteBuffer encoded = ByteBuffer.allocate(PAYLOAD_BYTES + MAC_BYTES);
         encoded.put(VERSION).put(keyHint(key)).put((byte) (handle.repeatable() ? 1 : 0))
@@ -47,7 +47,7 @@
     }
 
     /** Returns null if the text isn't a valid handle that this front issued to the tenant. */
-    public Handle read(String text, String tenant) {
+    public Handle decode(String text, String tenant) {
         byte[] encoded;
         try {
             encoded = Base64.getUrlDecoder().decode(text);
--- a/src/main/java/reedspring/spool/Spool.java
+++ b/src/main/java/reedspring/spool/Spool.java
@@ -10,15 +10,15 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import reedspring.api.Id;
-import reedspring.spool.Step.Reason;
+import reedspring.spool.SpoolAction.Reason;
 
 /**
  * Manages answers that are kept on disk so that their engines are free for other queries: accepts answers,
- * reserves disk space, requests pages from engines, evicts answers and admits reads. Events go to {@link #on}
- * with the time at which they occurred; no answer is accepted before {@link Word.Recovered}. The resulting
- * actions are passed to the consumer, in order, before the call returns. Does no I/O; the caller performs the
- * actions. Not thread-safe. Times are Unix time in ticks (one tick is a tenth of a millisecond). The design
- * is described in docs/spool.md.
+ * reserves disk space, requests pages from engines, evicts answers and admits reads. Events go to {@link
+ * #onEvent} with the time at which they occurred; no answer is accepted before {@link SpoolEvent.Recovered}.
+ * The resulting actions are passed to the consumer, in order, before the call returns. Does no I/O; the
+ * caller performs the actions. Not thread-safe. Times are Unix time in ticks (one tick is a tenth of a
+ * millisecond). The design is described in docs/spool.md.
  *
  * <p>Space is accounted as disk usage. A segment is deleted as a whole once it holds no live answer. Dead
  * bytes count until then, and the live answers of a mostly dead segment are moved to another segment.
@@ -33,7 +33,7 @@
     /** Longer than a page read takes, so that a rejected read is likely to be admitted on retry. */
     private static final long BUSY_RETRY_TICKS = 1_000;
 
-    private final Terms terms;
+    private final SpoolLimits limits;
     private final LongSupplier randomBits;
     private final Map<AnswerId, Answer> answers = new LinkedHashMap<>();
     private final Map<AnswerId, Answer> uncommitted = new LinkedHashMap<>();
@@ -41,7 +41,7 @@
     private final TreeMap<Long, Segment> segments = new TreeMap<>();
     private final Map<String, TenantUsage> usageByTenant = new HashMap<>();
     private final Map<Long, String> activeReads = new HashMap<>();
-    private Consumer<Step> actions;
+    private Consumer<SpoolAction> actions;
     private long now;
     private long activeSegment = -1;
     private long lastSegment;
@@ -78,7 +78,7 @@
     }
 
     private static final class Segment {
-        private long bytes = Terms.SEGMENT_OVERHEAD_BYTES;
+        private long bytes = SpoolLimits.SEGMENT_OVERHEAD_BYTES;
         private long liveBytes;
         private int committedAnswers;
         private int uncommittedAnswers;
@@ -94,55 +94,55 @@
     }
 
     /** @param randomBits returns 64 unpredictable bits per call, for answer ids */
-    public Spool(Terms terms, LongSupplier randomBits) {
-        this.terms = terms;
+    public Spool(SpoolLimits terms, LongSupplier randomBits) {
+        this.limits = terms;
         this.randomBits = randomBits;
         this.backoff = terms.initialBackoff();
     }
 
     /** Processes one event and passes the resulting actions to the consumer. */
-    public void on(long time, Word event, Consumer<Step> consumer) {
+    public void onEvent(long time, SpoolEvent event, Consumer<SpoolAction> consumer) {
         now = Math.max(now, time);
         actions = consumer;
-        if (event instanceof Word.Began started) {
+        if (event instanceof SpoolEvent.AnswerAnnounced started) {
             startAnswer(started);
-        } else if (event instanceof Word.PageCame page) {
+        } else if (event instanceof SpoolEvent.PageReceived page) {
             pageReceived(page);
-        } else if (event instanceof Word.PageWritten written) {
+        } else if (event instanceof SpoolEvent.PageWritten written) {
             pageWritten(written);
-        } else if (event instanceof Word.AnswerCommitted committed) {
+        } else if (event instanceof SpoolEvent.AnswerCommitted committed) {
             answerCommitted(committed.answer());
-        } else if (event instanceof Word.SegmentFailed failed) {
+        } else if (event instanceof SpoolEvent.SegmentFailed failed) {
             segmentFailed(failed);
-        } else if (event instanceof Word.QueryOver ended) {
+        } else if (event instanceof SpoolEvent.QueryEnded ended) {
             abandon(uncommitted.get(ended.answer()));
-        } else if (event instanceof Word.Asked request) {
+        } else if (event instanceof SpoolEvent.PageRequested request) {
             startRead(request);
-        } else if (event instanceof Word.PageRead read) {
+        } else if (event instanceof SpoolEvent.PageRead read) {
             pageRead(read);
-        } else if (event instanceof Word.PageReadFailed readFailed) {
+        } else if (event instanceof SpoolEvent.PageReadFailed readFailed) {
             pageReadFailed(readFailed);
-        } else if (event instanceof Word.PageCorrupt corrupt) {
+        } else if (event instanceof SpoolEvent.PageCorrupt corrupt) {
             pageCorrupt(corrupt);
-        } else if (event instanceof Word.Released released) {
+        } else if (event instanceof SpoolEvent.AnswerReleased released) {
             Answer answer = find(released.handle());
             if (answer != null) {
                 drop(answer);
             }
-        } else if (event instanceof Word.AnswerMoved moved) {
+        } else if (event instanceof SpoolEvent.AnswerMoved moved) {
             answerMoved(moved);
-        } else if (event instanceof Word.MoveFailed moveFailed) {
+        } else if (event instanceof SpoolEvent.MoveFailed moveFailed) {
             moveFailed(moveFailed);
-        } else if (event instanceof Word.Recovered contents) {
+        } else if (event instanceof SpoolEvent.Recovered contents) {
             recovered = true;
             restore(contents);
-        } else if (event instanceof Word.Unusable unusableEvent) {
+        } else if (event instanceof SpoolEvent.Unusable unusableEvent) {
             unusable = true;
-            actions.accept(new Step.Remark("spool can't be used, no answers are kept: "
+            actions.accept(new SpoolAction.LogMessage("spool can't be used, no answers are kept: "
                     + unusableEvent.reason()));
-        } else if (event instanceof Word.StoreNotice notice) {
-            actions.accept(new Step.Remark("spool: " + notice.text()));
-        } else if (event instanceof Word.Tick) {
+        } else if (event instanceof SpoolEvent.StoreNotice notice) {
+            actions.accept(new SpoolAction.LogMessage("spool: " + notice.text()));
+        } else if (event instanceof SpoolEvent.Tick) {
             tick();
         }
         fetchPages();
@@ -172,27 +172,27 @@
 
     // ---- space
 
-    private void startAnswer(Word.Began started) {
-        long maxBytes = terms.maxDiskBytes(started.pages()) + Terms.SEGMENT_OVERHEAD_BYTES;
-        String rejection = started.pages() < 1 || maxBytes > terms.maxAnswerBytes()
+    private void startAnswer(SpoolEvent.AnswerAnnounced started) {
+        long maxBytes = limits.maxDiskBytes(started.pages()) + SpoolLimits.SEGMENT_OVERHEAD_BYTES;
+        String rejection = started.pages() < 1 || maxBytes > limits.maxAnswerBytes()
                 ? "answer exceeds the size limit"
                 : !recovered ? "spool recovery is not finished"
                 : now < backoffUntil ? "disk failed recently" : null;
         // The first page arrives without being requested: while the disk is stalled, each new answer would
         // buffer one.
-        if (rejection == null && bufferedBytes + terms.pageBytes() > 2 * terms.inMemory()) {
+        if (rejection == null && bufferedBytes + limits.pageBytes() > 2 * limits.maxBufferedBytes()) {
             rejection = "too many bytes wait to be written";
         }
         if (rejection == null && !evictFor(started, maxBytes)) {
             rejection = "spool is full";
         }
         if (rejection != null) {
-            actions.accept(new Step.Refuse(started.query(), rejection,
+            actions.accept(new SpoolAction.RefuseAnswer(started.query(), rejection,
                     retryAfter(started.tenant(), rejection)));
             return;
         }
         Segment segment = segments.get(activeSegment);
-        if (segment == null || segment.sealed || segment.bytes >= terms.segmentBytes()) {
+        if (segment == null || segment.sealed || segment.bytes >= limits.segmentBytes()) {
             segment = openSegment();
         }
         Answer answer = new Answer();
@@ -203,21 +203,21 @@
         answer.pageCount = started.pages();
         answer.segment = activeSegment;
         segment.uncommittedAnswers++;
-        reserve(answer, maxBytes - Terms.SEGMENT_OVERHEAD_BYTES);
+        reserve(answer, maxBytes - SpoolLimits.SEGMENT_OVERHEAD_BYTES);
         usage(answer.tenant).answers++;
         // Page 0 came with the announcement.
         answer.pagesRequested = 1;
-        bufferedBytes += terms.pageBytes();
+        bufferedBytes += limits.pageBytes();
         uncommitted.put(answer.id, answer);
         answerByQuery.put(answer.query, answer.id);
-        actions.accept(new Step.Take(answer.query, answer.id));
+        actions.accept(new SpoolAction.AcceptAnswer(answer.query, answer.id));
     }
 
     private Segment openSegment() {
         activeSegment = ++lastSegment;
         Segment segment = new Segment();
         segments.put(activeSegment, segment);
-        actions.accept(new Step.OpenSegment(activeSegment));
+        actions.accept(new SpoolAction.OpenSegment(activeSegment));
         return segment;
     }
 
@@ -226,9 +226,10 @@
      * reached, those of any tenant if the spool is full. Returns false if it still doesn't fit. Answers that
      * were not read to their end are never evicted before they expire.
      */
-    private boolean evictFor(Word.Began started, long maxBytes) {
-        long tenantLimit = (long) (terms.total() * terms.tenantPart());
-        long totalLimit = (long) (terms.total() * (started.repeatable() ? 1 - terms.headroomRatio() : 1));
+    private boolean evictFor(SpoolEvent.AnswerAnnounced started, long maxBytes) {
+        long tenantLimit = (long) (limits.totalBytes() * limits.maxTenantRatio());
+        long totalLimit = (long) (limits.totalBytes()
+                * (started.repeatable() ? 1 - limits.headroomRatio() : 1));
         while (usage(started.tenant()).bytes + maxBytes > tenantLimit) {
             if (!evictOldestRead(started.tenant())) {
                 removeUnusedTenant(started.tenant());
@@ -264,10 +265,10 @@
         if (now < backoffUntil) {
             return backoffUntil - now;
         }
-        return rejection.equals("too many bytes wait to be written") ? terms.initialBackoff()
+        return rejection.equals("too many bytes wait to be written") ? limits.initialBackoff()
                 : rejection.equals("spool is full")
                 ? Math.max(1, answers.values().stream()
-                .mapToLong(answer -> answer.expiresAt - now).min().orElse(terms.initialBackoff())) : 0;
+                .mapToLong(answer -> answer.expiresAt - now).min().orElse(limits.initialBackoff())) : 0;
     }
 
     private TenantUsage usage(String tenant) {
@@ -299,43 +300,43 @@
 
     // ---- receiving and committing
 
-    private void pageReceived(Word.PageCame page) {
+    private void pageReceived(SpoolEvent.PageReceived page) {
         Answer answer = uncommitted.get(page.answer());
         if (answer == null) {
             return;
         }
         answer.pagesReceived++;
         answer.unwrittenPageSizes.put(page.page(), page.bytes());
-        actions.accept(new Step.Write(answer.id, answer.segment, page.page()));
+        actions.accept(new SpoolAction.WritePage(answer.id, answer.segment, page.page()));
         if (answer.pagesReceived == answer.pageCount) {
             answer.committing = true;
-            answer.expiresAt = now + terms.keepFor();
-            actions.accept(new Step.CommitAnswer(answer.id, answer.segment, answer.tenant, answer.repeatable,
-                    answer.pageCount,
+            answer.expiresAt = now + limits.retention();
+            actions.accept(new SpoolAction.CommitAnswer(answer.id, answer.segment, answer.tenant,
+                    answer.repeatable, answer.pageCount,
                     answer.expiresAt));
         }
     }
 
-    private void pageWritten(Word.PageWritten page) {
-        bufferedBytes -= terms.pageBytes();
+    private void pageWritten(SpoolEvent.PageWritten page) {
+        bufferedBytes -= limits.pageBytes();
         Answer answer = uncommitted.get(page.answer());
         Integer bytes = answer == null ? null : answer.unwrittenPageSizes.remove(page.page());
         if (bytes != null) {
-            reserve(answer, answer.reservedBytes - terms.pageBytes() - Terms.PAGE_OVERHEAD_BYTES);
-            addWritten(answer, bytes + Terms.PAGE_OVERHEAD_BYTES);
+            reserve(answer, answer.reservedBytes - limits.pageBytes() - SpoolLimits.PAGE_OVERHEAD_BYTES);
+            addWritten(answer, bytes + SpoolLimits.PAGE_OVERHEAD_BYTES);
         }
     }
 
     /** Requests pages from engines, round-robin over the answers, while the buffer limit allows it. */
     private void fetchPages() {
         boolean progress = true;
-        while (progress && bufferedBytes + terms.pageBytes() <= terms.inMemory()) {
+        while (progress && bufferedBytes + limits.pageBytes() <= limits.maxBufferedBytes()) {
             progress = false;
             for (Answer answer : uncommitted.values()) {
                 if (answer.pagesRequested < answer.pageCount && bufferedBytes
-                        + terms.pageBytes() <= terms.inMemory()) {
-                    bufferedBytes += terms.pageBytes();
-                    actions.accept(new Step.AskPage(answer.id, answer.pagesRequested++));
+                        + limits.pageBytes() <= limits.maxBufferedBytes()) {
+                    bufferedBytes += limits.pageBytes();
+                    actions.accept(new SpoolAction.FetchPage(answer.id, answer.pagesRequested++));
                     progress = true;
                 }
             }
@@ -348,15 +349,15 @@
             return;
         }
         // A commit proves that the disk works.
-        backoff = terms.initialBackoff();
+        backoff = limits.initialBackoff();
         answerByQuery.remove(answer.query);
         reserve(answer, 0);
-        addWritten(answer, Terms.ANSWER_OVERHEAD_BYTES);
+        addWritten(answer, SpoolLimits.ANSWER_OVERHEAD_BYTES);
         Segment segment = segments.get(answer.segment);
         segment.uncommittedAnswers--;
         segment.committedAnswers++;
         answers.put(id, answer);
-        actions.accept(new Step.Kept(answer.query, id, answer.pageCount, answer.expiresAt));
+        actions.accept(new SpoolAction.CompleteAnswer(answer.query, id, answer.pageCount, answer.expiresAt));
     }
 
     /** Stops tracking an uncommitted answer; its bytes on disk are dead. */
@@ -367,7 +368,7 @@
         uncommitted.remove(answer.id);
         answerByQuery.remove(answer.query);
         // Received pages stay in memory until they are written, even for an abandoned answer.
-        bufferedBytes -= (long) (answer.pagesRequested - answer.pagesReceived) * terms.pageBytes();
+        bufferedBytes -= (long) (answer.pagesRequested - answer.pagesReceived) * limits.pageBytes();
         reserve(answer, 0);
         TenantUsage tenantUsage = usage(answer.tenant);
         tenantUsage.bytes -= answer.writtenBytes;
@@ -375,11 +376,11 @@
         Segment segment = segments.get(answer.segment);
         // Pages already passed on for writing may still reach the disk, in whole or in part.
         segment.bytes += answer.unwrittenPageSizes.values().stream().mapToInt(bytes -> bytes
-                + Terms.PAGE_OVERHEAD_BYTES).sum()
-                + (answer.committing ? Terms.ANSWER_OVERHEAD_BYTES : 0);
+                + SpoolLimits.PAGE_OVERHEAD_BYTES).sum()
+                + (answer.committing ? SpoolLimits.ANSWER_OVERHEAD_BYTES : 0);
         segment.liveBytes -= answer.writtenBytes;
         segment.uncommittedAnswers--;
-        actions.accept(new Step.DropAnswer(answer.id, answer.segment));
+        actions.accept(new SpoolAction.DropAnswer(answer.id, answer.segment));
         removeUnusedTenant(answer.tenant);
     }
 
@@ -387,16 +388,17 @@
      * After a failed write or sync the state of the segment since its last commit is unknown. Its uncommitted
      * answers are lost, the committed ones stay, and no answer is accepted until the backoff has passed.
      */
-    private void segmentFailed(Word.SegmentFailed failed) {
+    private void segmentFailed(SpoolEvent.SegmentFailed failed) {
         Segment segment = segments.get(failed.segment());
         if (segment == null) {
             return;
         }
-        actions.accept(new Step.Remark("spool segment " + failed.segment() + " failed: " + failed.reason()));
+        actions.accept(new SpoolAction.LogMessage("spool segment " + failed.segment() + " failed: "
+                + failed.reason()));
         for (Answer answer : List.copyOf(uncommitted.values())) {
             if (answer.segment == failed.segment()) {
                 abandon(answer);
-                actions.accept(new Step.Lost(answer.query, answer.id, failed.reason()));
+                actions.accept(new SpoolAction.FailAnswer(answer.query, answer.id, failed.reason()));
             }
         }
         if (movingAnswer != null && moveTarget == failed.segment()) {
@@ -405,13 +407,13 @@
         }
         sealSegment(failed.segment(), segment);
         backoffUntil = now + backoff;
-        backoff = Math.min(terms.maxBackoff(), backoff * 2);
+        backoff = Math.min(limits.maxBackoff(), backoff * 2);
     }
 
     private void sealSegment(long number, Segment segment) {
         if (!segment.sealed) {
             segment.sealed = true;
-            actions.accept(new Step.SealSegment(number));
+            actions.accept(new SpoolAction.SealSegment(number));
         }
         if (activeSegment == number) {
             activeSegment = -1;
@@ -427,32 +429,32 @@
                 : answer;
     }
 
-    private void startRead(Word.Asked request) {
+    private void startRead(SpoolEvent.PageRequested request) {
         Handle handle = request.handle();
         Answer answer = find(handle);
         Reason reason = null;
         if (now >= handle.expiresAt()) {
             reason = Reason.EXPIRED;
         } else if (!recovered) {
-            reason = unusable ? Reason.DAMAGED : Reason.BUSY;
+            reason = unusable ? Reason.CORRUPT : Reason.BUSY;
         } else if (answer == null) {
             reason = Reason.GONE;
         } else if (request.page() < 0 || request.page() >= answer.pageCount) {
             reason = Reason.NO_SUCH_PAGE;
-        } else if (activeReads.size() >= terms.reads()
-                || usage(answer.tenant).activeReads >= terms.maxReadsPerTenant()
+        } else if (activeReads.size() >= limits.maxReads()
+                || usage(answer.tenant).activeReads >= limits.maxReadsPerTenant()
                 || activeReads.containsKey(request.readId())) {
             reason = Reason.BUSY;
         }
         if (reason != null) {
-            actions.accept(new Step.Say(request.readId(), reason, reason == Reason.BUSY ? BUSY_RETRY_TICKS
-                    : 0));
+            actions.accept(new SpoolAction.RejectRead(request.readId(), reason,
+                    reason == Reason.BUSY ? BUSY_RETRY_TICKS : 0));
             return;
         }
         activeReads.put(request.readId(), answer.tenant);
         usage(answer.tenant).activeReads++;
         answer.activeReads++;
-        actions.accept(new Step.ReadPage(request.readId(), answer.id, answer.segment, request.page()));
+        actions.accept(new SpoolAction.ReadPage(request.readId(), answer.id, answer.segment, request.page()));
     }
 
     private void finishRead(long readId, AnswerId answerId) {
@@ -467,7 +469,7 @@
         }
     }
 
-    private void pageRead(Word.PageRead read) {
+    private void pageRead(SpoolEvent.PageRead read) {
         finishRead(read.readId(), read.answer());
         Answer answer = answers.get(read.answer());
         if (answer != null) {
@@ -477,22 +479,23 @@
     }
 
     /** Tells the client to retry: the answer is still kept. */
-    private void pageReadFailed(Word.PageReadFailed failed) {
+    private void pageReadFailed(SpoolEvent.PageReadFailed failed) {
         finishRead(failed.readId(), failed.answer());
         boolean kept = answers.containsKey(failed.answer());
-        actions.accept(new Step.Remark("spool page read failed: " + failed.reason()));
-        actions.accept(new Step.Say(failed.readId(), kept ? Reason.BUSY : Reason.GONE, kept ? BUSY_RETRY_TICKS
-                : 0));
+        actions.accept(new SpoolAction.LogMessage("spool page read failed: " + failed.reason()));
+        actions.accept(new SpoolAction.RejectRead(failed.readId(), kept ? Reason.BUSY : Reason.GONE,
+                kept ? BUSY_RETRY_TICKS : 0));
     }
 
     /** Drops an answer with a corrupt page, as it can't be delivered completely any more. */
-    private void pageCorrupt(Word.PageCorrupt corrupt) {
+    private void pageCorrupt(SpoolEvent.PageCorrupt corrupt) {
         finishRead(corrupt.readId(), corrupt.answer());
         Answer answer = answers.get(corrupt.answer());
         // The answer may have been dropped, and its segment deleted, during the read.
-        actions.accept(new Step.Say(corrupt.readId(), answer == null ? Reason.GONE : Reason.DAMAGED, 0));
+        actions.accept(new SpoolAction.RejectRead(corrupt.readId(),
+                answer == null ? Reason.GONE : Reason.CORRUPT, 0));
         if (answer != null) {
-            actions.accept(new Step.Remark("spool answer corrupt, dropped: " + corrupt.reason()));
+            actions.accept(new SpoolAction.LogMessage("spool answer corrupt, dropped: " + corrupt.reason()));
             drop(answer);
         }
     }
@@ -508,7 +511,7 @@
         segment.liveBytes -= answer.writtenBytes;
         segment.committedAnswers--;
         segment.droppedAnswers++;
-        actions.accept(new Step.DropAnswer(answer.id, answer.segment));
+        actions.accept(new SpoolAction.DropAnswer(answer.id, answer.segment));
         removeUnusedTenant(answer.tenant);
     }
 
@@ -527,12 +530,12 @@
             Segment segment = entry.getValue();
             long number = entry.getKey();
             boolean idle = segment.uncommittedAnswers == 0 && (movingAnswer == null || moveTarget != number);
-            if (!segment.sealed && idle && segment.bytes >= terms.segmentBytes()) {
+            if (!segment.sealed && idle && segment.bytes >= limits.segmentBytes()) {
                 sealSegment(number, segment);
             }
             boolean moveSource = movingAnswer != null && movingAnswer.segment == number;
             if (segment.committedAnswers == 0 && idle && !moveSource && (segment.sealed
-                    || segment.bytes > Terms.SEGMENT_OVERHEAD_BYTES)) {
+                    || segment.bytes > SpoolLimits.SEGMENT_OVERHEAD_BYTES)) {
                 if (activeSegment == number) {
                     activeSegment = -1;
                 }
@@ -540,9 +543,9 @@
                 // The drop records of its answers are in the active segment and remain there.
                 Segment dropLog = segments.get(activeSegment);
                 if (dropLog != null) {
-                    dropLog.bytes += (long) segment.droppedAnswers * Terms.DROP_OVERHEAD_BYTES;
+                    dropLog.bytes += (long) segment.droppedAnswers * SpoolLimits.DROP_OVERHEAD_BYTES;
                 }
-                actions.accept(new Step.DeleteSegment(number));
+                actions.accept(new SpoolAction.DeleteSegment(number));
             }
         }
     }
@@ -550,7 +553,7 @@
     /** Starts to move one answer out of the sealed segment with the largest ratio of dead bytes. */
     private void compact() {
         if (movingAnswer != null || now < backoffUntil
-                || usedBytes() <= terms.total() * COMPACTION_FILL_RATIO) {
+                || usedBytes() <= limits.totalBytes() * COMPACTION_FILL_RATIO) {
             return;
         }
         Map.Entry<Long, Segment> emptiest = segments.entrySet().stream()
@@ -566,17 +569,17 @@
         }
         Answer answer = answers.values().stream().filter(candidate ->
                 candidate.segment == emptiest.getKey()).findFirst().orElseThrow();
-        if (usedBytes() + answer.writtenBytes + Terms.SEGMENT_OVERHEAD_BYTES > terms.total()) {
+        if (usedBytes() + answer.writtenBytes + SpoolLimits.SEGMENT_OVERHEAD_BYTES > limits.totalBytes()) {
             return;
         }
         Segment target = segments.get(activeSegment);
-        if (target == null || target.sealed || target.bytes >= terms.segmentBytes()) {
+        if (target == null || target.sealed || target.bytes >= limits.segmentBytes()) {
             target = openSegment();
         }
         movingAnswer = answer;
         moveTarget = activeSegment;
         reservedBytes += answer.writtenBytes;
-        actions.accept(new Step.MoveAnswer(answer.id, answer.segment, moveTarget));
+        actions.accept(new SpoolAction.MoveAnswer(answer.id, answer.segment, moveTarget));
     }
 
     private void endMove() {
@@ -584,7 +587,7 @@
         movingAnswer = null;
     }
 
-    private void answerMoved(Word.AnswerMoved moved) {
+    private void answerMoved(SpoolEvent.AnswerMoved moved) {
         if (movingAnswer == null || !movingAnswer.id.equals(moved.answer())
                 || moveTarget != moved.targetSegment()) {
             return;
@@ -595,7 +598,7 @@
         target.bytes += answer.writtenBytes;
         if (answers.get(answer.id) != answer) {
             // Dropped during the move: the copy is dead.
-            actions.accept(new Step.DropAnswer(answer.id, moved.targetSegment()));
+            actions.accept(new SpoolAction.DropAnswer(answer.id, moved.targetSegment()));
             return;
         }
         Segment source = segments.get(answer.segment);
@@ -607,7 +610,7 @@
         compact();
     }
 
-    private void moveFailed(Word.MoveFailed failed) {
+    private void moveFailed(SpoolEvent.MoveFailed failed) {
         if (movingAnswer == null || !movingAnswer.id.equals(failed.answer())
                 || moveTarget != failed.targetSegment()) {
             return;
@@ -615,7 +618,7 @@
         Answer answer = movingAnswer;
         segments.get(failed.targetSegment()).bytes += answer.writtenBytes;
         endMove();
-        actions.accept(new Step.Remark("spool answer corrupt, dropped: " + failed.reason()));
+        actions.accept(new SpoolAction.LogMessage("spool answer corrupt, dropped: " + failed.reason()));
         if (answers.get(answer.id) == answer) {
             drop(answer);
         }
@@ -626,18 +629,18 @@
     /**
      * Keeps complete answers that have not expired, of several copies the latest. All other bytes are dead.
      */
-    private void restore(Word.Recovered contents) {
-        for (Word.RecoveredSegment segment : contents.segments()) {
+    private void restore(SpoolEvent.Recovered contents) {
+        for (SpoolEvent.RecoveredSegment segment : contents.segments()) {
             Segment restored = new Segment();
             restored.bytes = segment.bytes();
             restored.sealed = true;
             segments.put(segment.number(), restored);
         }
         lastSegment = Math.max(lastSegment, contents.lastSegment());
-        Map<AnswerId, Word.RecoveredAnswer> latest = new LinkedHashMap<>();
+        Map<AnswerId, SpoolEvent.RecoveredAnswer> latest = new LinkedHashMap<>();
         int incomplete = 0;
         int expired = 0;
-        for (Word.RecoveredAnswer answer : contents.answers()) {
+        for (SpoolEvent.RecoveredAnswer answer : contents.answers()) {
             if (!answer.complete() || !segments.containsKey(answer.segment())) {
                 incomplete++;
             } else if (now >= answer.expiresAt()) {
@@ -646,7 +649,7 @@
                 latest.merge(answer.answer(), answer, (a, b) -> a.sequence() >= b.sequence() ? a : b);
             }
         }
-        for (Word.RecoveredAnswer answer : latest.values()) {
+        for (SpoolEvent.RecoveredAnswer answer : latest.values()) {
             Answer restoredAnswer = new Answer();
             restoredAnswer.id = answer.answer();
             restoredAnswer.tenant = answer.tenant();
@@ -663,8 +666,8 @@
             segment.committedAnswers++;
             answers.put(restoredAnswer.id, restoredAnswer);
         }
-        actions.accept(new Step.Remark("spool: " + latest.size() + " answers found, " + expired + " expired, "
-                + incomplete
+        actions.accept(new SpoolAction.LogMessage("spool: " + latest.size() + " answers found, " + expired
+                + " expired, " + incomplete
                 + " incomplete"));
     }
 }
--- a/src/main/java/reedspring/spool/Word.java
+++ b/src/main/java/reedspring/spool/SpoolEvent.java
@@ -4,65 +4,66 @@
 import reedspring.api.Id;
 
 /** An event that the spool reacts to. {@code expiresAt} is Unix time in ticks (tenths of a millisecond). */
-public sealed interface Word {
+public sealed interface SpoolEvent {
     /** An engine announced an answer of so many pages; {@code repeatable}: its query may run again. */
-    record Began(Id.Query query, String tenant, boolean repeatable, int pages) implements Word {
+    record AnswerAnnounced(Id.Query query, String tenant, boolean repeatable, int pages)
+            implements SpoolEvent {
     }
 
     /** A page arrived from the engine. */
-    record PageCame(AnswerId answer, int page, int bytes) implements Word {
+    record PageReceived(AnswerId answer, int page, int bytes) implements SpoolEvent {
     }
 
     /**
-     * The page is no longer buffered in memory. Sent once for each {@link Step.Write}, even if the segment
-     * failed or the answer was abandoned.
+     * The page is no longer buffered in memory. Sent once for each {@link SpoolAction.WritePage}, even if the
+     * segment failed or the answer was abandoned.
      */
-    record PageWritten(AnswerId answer, int page) implements Word {
+    record PageWritten(AnswerId answer, int page) implements SpoolEvent {
     }
 
     /** All of the answer is on disk and survives a crash of this process. */
-    record AnswerCommitted(AnswerId answer) implements Word {
+    record AnswerCommitted(AnswerId answer) implements SpoolEvent {
     }
 
     /** Nothing written to the segment since its last commit is reliable, nor is any later write to it. */
-    record SegmentFailed(long segment, String reason) implements Word {
+    record SegmentFailed(long segment, String reason) implements SpoolEvent {
     }
 
     /** The query ended in another way before its answer was committed. */
-    record QueryOver(AnswerId answer) implements Word {
+    record QueryEnded(AnswerId answer) implements SpoolEvent {
     }
 
     /** A client requests a page with a valid handle; {@code readId} identifies the read. */
-    record Asked(long readId, Handle handle, int page) implements Word {
+    record PageRequested(long readId, Handle handle, int page) implements SpoolEvent {
     }
 
     /** The page was read and passed on. */
-    record PageRead(long readId, AnswerId answer, int page) implements Word {
+    record PageRead(long readId, AnswerId answer, int page) implements SpoolEvent {
     }
 
     /** An I/O error prevented the read; the stored page isn't known to be corrupt. */
-    record PageReadFailed(long readId, AnswerId answer, int page, String reason) implements Word {
+    record PageReadFailed(long readId, AnswerId answer, int page, String reason) implements SpoolEvent {
     }
 
     /** The page is corrupt or missing. */
-    record PageCorrupt(long readId, AnswerId answer, int page, String reason) implements Word {
+    record PageCorrupt(long readId, AnswerId answer, int page, String reason) implements SpoolEvent {
     }
 
     /** A client releases its answer. */
-    record Released(Handle handle) implements Word {
+    record AnswerReleased(Handle handle) implements SpoolEvent {
     }
 
     /** The copy in the target segment is durable. */
-    record AnswerMoved(AnswerId answer, long targetSegment) implements Word {
+    record AnswerMoved(AnswerId answer, long targetSegment) implements SpoolEvent {
     }
 
     /** The stored answer is corrupt or missing and could not be copied. */
-    record MoveFailed(AnswerId answer, long targetSegment, String reason) implements Word {
+    record MoveFailed(AnswerId answer, long targetSegment, String reason) implements SpoolEvent {
     }
 
     /** Result of recovery; {@code lastSegment}: the highest segment number on disk. */
     record Recovered(List<RecoveredSegment> segments, List<RecoveredAnswer> answers,
-                     long lastSegment) implements Word {
+                     long lastSegment) implements SpoolEvent {
     }
 
     /** A segment on disk with its total size. */
@@ -78,14 +79,14 @@
     }
 
     /** Recovery failed for good: no answers can be kept. */
-    record Unusable(String reason) implements Word {
+    record Unusable(String reason) implements SpoolEvent {
     }
 
     /** A message for the log; it changes no state. */
-    record StoreNotice(String text) implements Word {
+    record StoreNotice(String text) implements SpoolEvent {
     }
 
     /** Drives expiry and compaction; expected a few times a second. */
-    record Tick() implements Word {
+    record Tick() implements SpoolEvent {
     }
 }
--- a/src/main/java/reedspring/spool/store/Disk.java
+++ b/src/main/java/reedspring/spool/store/Disk.java
@@ -14,9 +14,9 @@
     List<String> list() throws IOException;
 
     /** Creates a file; fails if one of that name exists. */
-    Out create(String name) throws IOException;
+    OutputFile create(String name) throws IOException;
 
-    In open(String name) throws IOException;
+    InputFile open(String name) throws IOException;
 
     /** Renames atomically, replacing an existing file of the target name. */
     void rename(String source, String target) throws IOException;
@@ -24,10 +24,10 @@
     void delete(String name) throws IOException;
 
     /** Makes created, renamed and deleted names durable. */
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 
     /** A file that is only appended to. */
-    interface Out extends Closeable {
+    interface OutputFile extends Closeable {
         /** Appends the remaining bytes; after an exception, an unknown part of them was written. */
         void write(ByteBuffer bytes) throws IOException;
 
@@ -39,7 +39,7 @@
     }
 
     /** A file with positioned reads; safe for use by several threads. */
-    interface In extends Closeable {
+    interface InputFile extends Closeable {
         long size() throws IOException;
 
         /** Reads from the position on until the buffer is full or the file ends. */
--- a/src/main/java/reedspring/spool/store/FileDisk.java
+++ b/src/main/java/reedspring/spool/store/FileDisk.java
@@ -54,10 +54,10 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public OutputFile create(String name) throws IOException {
         FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.WRITE);
-        return new Out() {
+        return new OutputFile() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
                 while (bytes.hasRemaining()) {
@@ -80,9 +80,9 @@
     }
 
     @Override
-    public In open(String name) throws IOException {
+    public InputFile open(String name) throws IOException {
         FileChannel file = FileChannel.open(folder.resolve(name), StandardOpenOption.READ);
-        return new In() {
+        return new InputFile() {
             @Override
             public long size() throws IOException {
                 return file.size();
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
         }
--- a/src/main/java/reedspring/spool/store/Store.java
+++ b/src/main/java/reedspring/spool/store/SegmentStore.java
@@ -14,19 +14,19 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import reedspring.spool.AnswerId;
-import reedspring.spool.Terms;
-import reedspring.spool.Word;
+import reedspring.spool.SpoolLimits;
+import reedspring.spool.SpoolEvent;
 
 /**
  * Append-only storage of answers in segment files: writes, syncs, reads and recovers them. All policy is in
- * {@link reedspring.spool.Spool}. All methods but {@link #read} must be called by one thread; another thread
- * may call {@code read} at any time.
+ * {@link reedspring.spool.Spool}. All methods but {@link #readPage} must be called by one thread; another
+ * thread may call {@code readPage} at any time.
  *
  * <p>A segment that has failed accepts no more writes, and what was written to it since its last sync counts
  * as lost. A failed sync is never retried, as the kernel may have discarded the pages that it could not write
  * and may report success.
  */
-public final class Store implements Closeable {
+public final class SegmentStore implements Closeable {
     /** The file is truncated, or its content differs from what was written. */
     public static final class CorruptDataException extends IOException {
         private static final long serialVersionUID = 1L;
@@ -42,7 +42,7 @@
     private final Map<Long, OpenSegment> openSegments = new LinkedHashMap<>();
     /** Locations of the pages of committed answers. Also read by the reading thread. */
     private final Map<AnswerId, Location> locations = new ConcurrentHashMap<>();
-    private final Map<Long, Disk.In> readFiles = new ConcurrentHashMap<>();
+    private final Map<Long, Disk.InputFile> readFiles = new ConcurrentHashMap<>();
     private long lastSequence;
 
     private record Location(long segment, Format.IndexEntry entry) {
@@ -50,7 +50,7 @@
 
     /** A segment that is being written. */
     private static final class OpenSegment {
-        private final Disk.Out file;
+        private final Disk.OutputFile file;
         private long endPosition;
         private long syncedPosition;
         private boolean failed;
@@ -60,13 +60,13 @@
         private final List<Format.IndexEntry> unsynced = new ArrayList<>();
         private final List<Format.Drop> drops = new ArrayList<>();
 
-        OpenSegment(Disk.Out file) {
+        OpenSegment(Disk.OutputFile file) {
             this.file = file;
         }
     }
 
     /** @param pageBytes maximum size of a page; recovery rejects larger records as invalid */
-    public Store(Disk disk, String front, int pageBytes) {
+    public SegmentStore(Disk disk, String front, int pageBytes) {
         this.disk = disk;
         this.front = front;
         this.maxBodyBytes = Math.max(Format.PAGE_HEADER_BYTES + pageBytes, 2 * Format.MAX_NAME_BYTES);
@@ -75,17 +75,17 @@
     // ---- writing
 
     /** Creates a segment. */
-    public void open(long segment) throws IOException {
-        Disk.Out file = disk.create(Format.segmentFileName(segment));
+    public void createSegment(long segment) throws IOException {
+        Disk.OutputFile file = disk.create(Format.segmentFileName(segment));
         OpenSegment opened = new OpenSegment(file);
         openSegments.put(segment, opened);
         append(segment, opened, Format.header(segment, front));
         // Otherwise a crash could remove the directory entry of a file whose content was synced.
-        disk.syncNames();
+        disk.syncDirectory();
     }
 
     /** Appends a page; it counts once the answer is committed. */
-    public void write(AnswerId answer, long segment, int page, ByteBuffer content) throws IOException {
+    public void appendPage(AnswerId answer, long segment, int page, ByteBuffer content) throws IOException {
         OpenSegment target = writableSegment(segment);
         long position = target.endPosition;
         int bodyBytes = Format.PAGE_HEADER_BYTES + content.remaining();
@@ -97,7 +97,7 @@
     /**
      * Appends the commit record of the answer, which is durable after the next {@link #sync} of the segment.
      */
-    public void whole(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
+    public void appendCommit(AnswerId answer, long segment, String tenant, boolean repeatable, int pages,
                       long expiresAt) throws IOException {
         OpenSegment target = writableSegment(segment);
         Map<Integer, long[]> pageLocations = target.uncommittedPages.remove(answer);
@@ -201,12 +201,12 @@
     private void writeIndex(Format.Index index) throws IOException {
         String temporary = Format.temporaryFileName(index.segment());
         disk.delete(temporary);
-        try (Disk.Out file = disk.create(temporary)) {
+        try (Disk.OutputFile file = disk.create(temporary)) {
             file.write(Format.encodeIndex(index, front));
             file.sync();
         }
         disk.rename(temporary, Format.indexFileName(index.segment()));
-        disk.syncNames();
+        disk.syncDirectory();
     }
 
     /** Deletes the segment and its index. */
@@ -215,7 +215,7 @@
         if (opened != null) {
             opened.file.close();
         }
-        Disk.In file = readFiles.remove(segment);
+        Disk.InputFile file = readFiles.remove(segment);
         if (file != null) {
             file.close();
         }
@@ -234,9 +234,10 @@
         }
         Format.Commit commit = source.entry().commit();
         for (int page = 0; page < commit.pageCount(); page++) {
-            write(answer, segment, page, read(answer, page));
+            appendPage(answer, segment, page, readPage(answer, page));
         }
-        whole(answer, segment, commit.tenant(), commit.repeatable(), commit.pageCount(), commit.expiresAt());
+        appendCommit(answer, segment, commit.tenant(), commit.repeatable(), commit.pageCount(),
+                commit.expiresAt());
     }
 
     private OpenSegment writableSegment(long segment) throws IOException {
@@ -261,7 +262,7 @@
     // ---- reading
 
     /** Reads the content of one page of a committed answer. */
-    public ByteBuffer read(AnswerId answer, int page) throws IOException {
+    public ByteBuffer readPage(AnswerId answer, int page) throws IOException {
         Location location = locations.get(answer);
         if (location == null || page < 0 || page >= location.entry().positions().length) {
             throw new CorruptDataException("page is not stored");
@@ -287,13 +288,13 @@
         return record.slice();
     }
 
-    private Disk.In readFile(long segment) throws IOException {
-        Disk.In known = readFiles.get(segment);
+    private Disk.InputFile readFile(long segment) throws IOException {
+        Disk.InputFile known = readFiles.get(segment);
         if (known != null) {
             return known;
         }
-        Disk.In opened = disk.open(Format.segmentFileName(segment));
-        Disk.In other = readFiles.putIfAbsent(segment, opened);
+        Disk.InputFile opened = disk.open(Format.segmentFileName(segment));
+        Disk.InputFile other = readFiles.putIfAbsent(segment, opened);
         if (other != null) {
             opened.close();
             return other;
@@ -309,7 +310,7 @@
      *
      * @param remarks receives a message for each file that can't be used
      */
-    public Word.Recovered recover(Consumer<String> remarks) throws IOException {
+    public SpoolEvent.Recovered recover(Consumer<String> remarks) throws IOException {
         for (String name : disk.list()) {
             if (Format.isTemporary(name) || Format.indexNumber(name) >= 0
                     && !disk.list().contains(Format.segmentFileName(Format.indexNumber(name)))) {
@@ -328,7 +329,7 @@
     }
 
     /** Like {@link #recover}, but changes no files. */
-    Word.Recovered inspect(Consumer<String> remarks) throws IOException {
+    SpoolEvent.Recovered inspect(Consumer<String> remarks) throws IOException {
         return load(remarks, false);
     }
 
@@ -340,7 +341,7 @@
             if (number < 0) {
                 continue;
             }
-            try (Disk.In file = disk.open(name)) {
+            try (Disk.InputFile file = disk.open(name)) {
                 ByteBuffer header = ByteBuffer.allocate(Format.MAX_HEADER_BYTES);
                 file.read(header, 0);
                 String front = Format.readHeader(header.flip(), number);
@@ -362,8 +363,8 @@
         return location != null && location.segment() == segment;
     }
 
-    private Word.Recovered load(Consumer<String> remarks, boolean seal) throws IOException {
-        List<Word.RecoveredSegment> segments = new ArrayList<>();
+    private SpoolEvent.Recovered load(Consumer<String> remarks, boolean seal) throws IOException {
+        List<SpoolEvent.RecoveredSegment> segments = new ArrayList<>();
         Map<AnswerId, Long> dropSequences = new HashMap<>();
         List<Location> committed = new ArrayList<>();
         List<String> names = disk.list();
@@ -380,7 +381,7 @@
                 if (!scan.run()) {
                     remarks.accept(scan.failure);
                     if (scan.ownedByFront) {
-                        segments.add(new Word.RecoveredSegment(number, scan.fileBytes));
+                        segments.add(new SpoolEvent.RecoveredSegment(number, scan.fileBytes));
                     }
                     continue;
                 }
@@ -392,7 +393,7 @@
                     indexRecovered(index, remarks);
                 }
             }
-            segments.add(new Word.RecoveredSegment(number,
+            segments.add(new SpoolEvent.RecoveredSegment(number,
                     index.segmentBytes() + Format.encodeIndex(index, front).remaining()));
             for (Format.IndexEntry entry : index.entries()) {
                 committed.add(new Location(number, entry));
@@ -403,7 +404,7 @@
                 lastSequence = Math.max(lastSequence, drop.sequence());
             }
         }
-        List<Word.RecoveredAnswer> answers = new ArrayList<>();
+        List<SpoolEvent.RecoveredAnswer> answers = new ArrayList<>();
         for (Location location : committed) {
             Format.Commit commit = location.entry().commit();
             if (commit.sequence() > dropSequences.getOrDefault(commit.id(), 0L)) {
@@ -411,16 +412,16 @@
                 if (other == null || other.entry().commit().sequence() < commit.sequence()) {
                     locations.put(commit.id(), location);
                 }
-                answers.add(new Word.RecoveredAnswer(commit.id(), commit.tenant(), commit.repeatable(),
-                        commit.pageCount(), location.entry().bytes() + Terms.ANSWER_OVERHEAD_BYTES,
+                answers.add(new SpoolEvent.RecoveredAnswer(commit.id(), commit.tenant(), commit.repeatable(),
+                        commit.pageCount(), location.entry().bytes() + SpoolLimits.ANSWER_OVERHEAD_BYTES,
                         commit.expiresAt(), location.segment(), commit.sequence(), true));
             }
         }
-        return new Word.Recovered(segments, answers, lastSegment);
+        return new SpoolEvent.Recovered(segments, answers, lastSegment);
     }
 
     private Format.Index readIndex(long number) throws IOException {
-        try (Disk.In file = disk.open(Format.indexFileName(number))) {
+        try (Disk.InputFile file = disk.open(Format.indexFileName(number))) {
             ByteBuffer content = ByteBuffer.allocate((int) Math.min(Integer.MAX_VALUE - 8, file.size()));
             file.read(content, 0);
             return Format.readIndex(content.flip(), number, front);
@@ -448,7 +449,7 @@
 
         /** Returns false, with {@link #failure} set, if the segment can't be used. */
         boolean run() throws IOException {
-            try (Disk.In file = disk.open(Format.segmentFileName(segment))) {
+            try (Disk.InputFile file = disk.open(Format.segmentFileName(segment))) {
                 fileBytes = file.size();
                 fill(file, 0);
                 ByteBuffer header = ByteBuffer.wrap(buffer, 0, bufferedBytes);
@@ -471,7 +472,7 @@
             }
         }
 
-        private void scanRecords(Disk.In file, long start) throws IOException {
+        private void scanRecords(Disk.InputFile file, long start) throws IOException {
             long badStart = -1;
             for (long position = start; position + Format.RECORD_HEADER_BYTES < fileBytes; ) {
                 int length = readRecord(file, position);
@@ -490,7 +491,7 @@
         /**
          * Reads the record at the position; returns the size of its body, or -1 if there is no valid record.
          */
-        private int readRecord(Disk.In file, long position) throws IOException {
+        private int readRecord(Disk.InputFile file, long position) throws IOException {
             if (position < bufferStart
                     || position + Format.RECORD_HEADER_BYTES + maxBodyBytes > bufferStart + bufferedBytes
                     && bufferStart + bufferedBytes < fileBytes) {
@@ -525,7 +526,7 @@
             return bodyBytes;
         }
 
-        private void fill(Disk.In file, long position) throws IOException {
+        private void fill(Disk.InputFile file, long position) throws IOException {
             int length = (int) Math.min(fileBytes - position,
                     CHUNK_BYTES + maxBodyBytes + Format.RECORD_HEADER_BYTES);
             if (buffer.length < length) {
@@ -543,7 +544,7 @@
         for (OpenSegment segment : openSegments.values()) {
             segment.file.close();
         }
-        for (Disk.In file : readFiles.values()) {
+        for (Disk.InputFile file : readFiles.values()) {
             file.close();
         }
     }
--- a/src/main/java/reedspring/spool/store/Keeper.java
+++ b/src/main/java/reedspring/spool/store/StoreWorker.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import reedspring.spool.AnswerId;
-import reedspring.spool.Step;
-import reedspring.spool.Word;
+import reedspring.spool.SpoolAction;
+import reedspring.spool.SpoolEvent;
 
 /**
  * Performs the disk actions of the spool outside the event loop, on one thread for writes and one for reads.
@@ -22,26 +22,26 @@
  * <p>Commits are grouped: pending ones are synced when the write queue is empty or the oldest has waited for
  * the group commit time.
  */
-public final class Keeper {
+public final class StoreWorker {
     /** Receives the results; called on the event loop only. */
     public interface Listener {
         /** Handles an event of the spool. */
-        void word(Word event);
+        void onEvent(SpoolEvent event);
 
-        /** The content of a page, just before its {@link Word.PageRead}. */
-        void page(long readId, ByteBuffer content);
+        /** The content of a page, just before its {@link SpoolEvent.PageRead}. */
+        void onPage(long readId, ByteBuffer content);
     }
 
-    private record Task(Step action, ByteBuffer content) {
+    private record Task(SpoolAction action, ByteBuffer content) {
     }
 
-    private record PendingCommit(long segment, Word completion) {
+    private record PendingCommit(long segment, SpoolEvent completion) {
     }
 
     private static final Task STOP = new Task(null, null);
     private static final long RECOVERY_RETRY_MS = 500;
 
-    private final Store store;
+    private final SegmentStore store;
     private final Executor loop;
     private final Listener listener;
     private final long groupCommitNanos;
@@ -54,7 +54,7 @@
     private long pendingSince;
 
     /** @param groupCommitTicks how long a commit waits for others at most, in tenths of a millisecond */
-    public Keeper(Store store, Executor loop, Listener listener, long groupCommitTicks) {
+    public StoreWorker(SegmentStore store, Executor loop, Listener listener, long groupCommitTicks) {
         this.store = store;
         this.loop = loop;
         this.listener = listener;
@@ -63,7 +63,7 @@
         reader.setDaemon(true);
     }
 
-    /** Starts with recovery; its {@link Word.Recovered} precedes the results of all other actions. */
+    /** Starts with recovery; its {@link SpoolEvent.Recovered} precedes the results of all other actions. */
     public void start() {
         writer.start();
         reader.start();
@@ -72,11 +72,11 @@
     /**
      * Queues an action.
      *
-     * @param content of the page, for {@link Step.Write} only; must not change until its
-     *     {@link Word.PageWritten}
+     * @param content of the page, for {@link SpoolAction.WritePage} only; must not change until its
+     *     {@link SpoolEvent.PageWritten}
      */
-    public void accept(Step action, ByteBuffer content) {
-        (action instanceof Step.ReadPage ? reads : writes).add(new Task(action, content));
+    public void accept(SpoolAction action, ByteBuffer content) {
+        (action instanceof SpoolAction.ReadPage ? reads : writes).add(new Task(action, content));
     }
 
     /** Completes the queued writes and stops; returns false if that takes longer than the timeout. */
@@ -88,12 +88,12 @@
         return !writer.isAlive();
     }
 
-    private void report(Word event) {
-        loop.execute(() -> listener.word(event));
+    private void report(SpoolEvent event) {
+        loop.execute(() -> listener.onEvent(event));
     }
 
     private void notice(String text) {
-        report(new Word.StoreNotice(text));
+        report(new SpoolEvent.StoreNotice(text));
     }
 
     // ---- writing
@@ -135,7 +135,7 @@
                 report(store.recover(this::notice));
                 return true;
             } catch (RuntimeException e) {
-                report(new Word.Unusable(String.valueOf(e.getMessage())));
+                report(new SpoolEvent.Unusable(String.valueOf(e.getMessage())));
                 return false;
             } catch (IOException e) {
                 notice("folder could not be read, retrying: " + e.getMessage());
@@ -161,37 +161,37 @@
                 notice("disk action failed: " + e.getMessage());
             }
         }
-        if (task.action() instanceof Step.Write write) {
-            report(new Word.PageWritten(write.answer(), write.page()));
+        if (task.action() instanceof SpoolAction.WritePage write) {
+            report(new SpoolEvent.PageWritten(write.answer(), write.page()));
         }
     }
 
     /** Returns the segment that a failure of the action makes unusable, or -1. */
-    private static long segmentOf(Step action) {
-        return action instanceof Step.OpenSegment open ? open.segment()
-                : action instanceof Step.Write write ? write.segment()
-                : action instanceof Step.CommitAnswer commit ? commit.segment()
-                : action instanceof Step.MoveAnswer move ? move.targetSegment() : -1;
+    private static long segmentOf(SpoolAction action) {
+        return action instanceof SpoolAction.OpenSegment open ? open.segment()
+                : action instanceof SpoolAction.WritePage write ? write.segment()
+                : action instanceof SpoolAction.CommitAnswer commit ? commit.segment()
+                : action instanceof SpoolAction.MoveAnswer move ? move.targetSegment() : -1;
     }
 
     private void perform(Task task) throws IOException {
-        Step action = task.action();
-        if (action instanceof Step.OpenSegment open) {
-            store.open(open.segment());
-        } else if (action instanceof Step.Write write) {
-            store.write(write.answer(), write.segment(), write.page(), task.content());
-        } else if (action instanceof Step.CommitAnswer commit) {
-            store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
+        SpoolAction action = task.action();
+        if (action instanceof SpoolAction.OpenSegment open) {
+            store.createSegment(open.segment());
+        } else if (action instanceof SpoolAction.WritePage write) {
+            store.appendPage(write.answer(), write.segment(), write.page(), task.content());
+        } else if (action instanceof SpoolAction.CommitAnswer commit) {
+            store.appendCommit(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
                     commit.pages(), commit.expiresAt());
-            awaitSync(commit.segment(), new Word.AnswerCommitted(commit.answer()));
-        } else if (action instanceof Step.MoveAnswer move) {
+            awaitSync(commit.segment(), new SpoolEvent.AnswerCommitted(commit.answer()));
+        } else if (action instanceof SpoolAction.MoveAnswer move) {
             move(move.answer(), move.targetSegment());
-        } else if (action instanceof Step.DropAnswer drop) {
+        } else if (action instanceof SpoolAction.DropAnswer drop) {
             store.drop(drop.answer());
-        } else if (action instanceof Step.SealSegment seal) {
+        } else if (action instanceof SpoolAction.SealSegment seal) {
             syncAll();
             store.seal(seal.segment());
-        } else if (action instanceof Step.DeleteSegment delete) {
+        } else if (action instanceof SpoolAction.DeleteSegment delete) {
             pendingCommits.removeIf(commit -> commit.segment() == delete.segment());
             failedSegments.remove(delete.segment());
             store.delete(delete.segment());
@@ -201,14 +201,14 @@
     private void move(AnswerId answer, long targetSegment) throws IOException {
         try {
             store.move(answer, targetSegment);
-        } catch (Store.CorruptDataException e) {
-            report(new Word.MoveFailed(answer, targetSegment, e.getMessage()));
+        } catch (SegmentStore.CorruptDataException e) {
+            report(new SpoolEvent.MoveFailed(answer, targetSegment, e.getMessage()));
             return;
         }
-        awaitSync(targetSegment, new Word.AnswerMoved(answer, targetSegment));
+        awaitSync(targetSegment, new SpoolEvent.AnswerMoved(answer, targetSegment));
     }
 
-    private void awaitSync(long segment, Word completion) {
+    private void awaitSync(long segment, SpoolEvent completion) {
         if (pendingCommits.isEmpty()) {
             pendingSince = System.nanoTime();
         }
@@ -232,7 +232,7 @@
     private void failSegment(long segment, Exception e) {
         pendingCommits.removeIf(commit -> commit.segment() == segment);
         if (failedSegments.putIfAbsent(segment, "") == null) {
-            report(new Word.SegmentFailed(segment, String.valueOf(e.getMessage())));
+            report(new SpoolEvent.SegmentFailed(segment, String.valueOf(e.getMessage())));
         }
     }
 
@@ -241,19 +241,20 @@
     private void runReader() {
         try {
             for (Task task = reads.take(); task != STOP; task = reads.take()) {
-                Step.ReadPage request = (Step.ReadPage) task.action();
+                SpoolAction.ReadPage request = (SpoolAction.ReadPage) task.action();
                 try {
-                    ByteBuffer content = store.read(request.answer(), request.page());
+                    ByteBuffer content = store.readPage(request.answer(), request.page());
                     loop.execute(() -> {
-                        listener.page(request.readId(), content);
-                        listener.word(new Word.PageRead(request.readId(), request.answer(), request.page()));
+                        listener.onPage(request.readId(), content);
+                        listener.onEvent(new SpoolEvent.PageRead(request.readId(), request.answer(),
+                                request.page()));
                     });
-                } catch (Store.CorruptDataException | RuntimeException e) {
-                    report(new Word.PageCorrupt(request.readId(), request.answer(), request.page(),
+                } catch (SegmentStore.CorruptDataException | RuntimeException e) {
+                    report(new SpoolEvent.PageCorrupt(request.readId(), request.answer(), request.page(),
                             String.valueOf(e.getMessage())));
                 } catch (IOException e) {
                     // A disk error or no free file descriptor: a later read may succeed.
-                    report(new Word.PageReadFailed(request.readId(), request.answer(), request.page(),
+                    report(new SpoolEvent.PageReadFailed(request.readId(), request.answer(), request.page(),
                             String.valueOf(e.getMessage())));
                 }
             }
--- a/src/main/java/reedspring/spool/store/Survey.java
+++ b/src/main/java/reedspring/spool/store/Survey.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import reedspring.spool.AnswerId;
-import reedspring.spool.Word;
+import reedspring.spool.SpoolEvent;
 
 /**
  * Content of a spool directory, of all fronts that use it, for inspection by other processes. Reading it
@@ -32,12 +32,12 @@
         Map<Long, Long> segments = new TreeMap<>();
         List<Answer> answers = new ArrayList<>();
         long pagesRead = 0;
-        Set<String> fronts = new HashSet<>(Store.frontNames(disk, remarks::add));
+        Set<String> fronts = new HashSet<>(SegmentStore.frontNames(disk, remarks::add));
         for (String front : fronts) {
-            Store store = new Store(disk, front, Format.MAX_PAGE_BYTES);
-            Word.Recovered contents = store.inspect(remarks::add);
+            SegmentStore store = new SegmentStore(disk, front, Format.MAX_PAGE_BYTES);
+            SpoolEvent.Recovered contents = store.inspect(remarks::add);
             contents.segments().forEach(segment -> segments.put(segment.number(), segment.bytes()));
-            for (Word.RecoveredAnswer answer : contents.answers()) {
+            for (SpoolEvent.RecoveredAnswer answer : contents.answers()) {
                 if (!store.isCurrent(answer.answer(), answer.segment())) {
                     // An older copy, from before the answer was moved.
                     continue;
@@ -46,7 +46,7 @@
                         answer.expiresAt(), answer.segment()));
                 for (int page = 0; pages && page < answer.pages(); page++) {
                     try {
-                        store.read(answer.answer(), page);
+                        store.readPage(answer.answer(), page);
                         pagesRead++;
                     } catch (IOException e) {
                         if (disk.list().contains(Format.segmentFileName(answer.segment()))) {
@@ -71,7 +71,7 @@
                 deleted.add(segment);
             }
         }
-        disk.syncNames();
+        disk.syncDirectory();
         return deleted;
     }
 }
--- a/src/rig/java/reedspring/rig/Appends.java
+++ b/src/rig/java/reedspring/rig/Appends.java
@@ -15,7 +15,7 @@
 import org.h2.mvstore.MVStore;
 import reedspring.spool.AnswerId;
 import reedspring.spool.store.FileDisk;
-import reedspring.spool.store.Store;
+import reedspring.spool.store.SegmentStore;
 
 /** What the store's files cost beside plain sequential writes on the same disk, part of bench/spool. */
 final class Appends {
@@ -53,7 +53,7 @@
         double plain = plain(folder.resolve("plain"), bytes, page);
         List<AnswerId> ids = new ArrayList<>();
         long since = System.nanoTime();
-        try (Store store = new Store(new FileDisk(folder, true), "n0", PAGE)) {
+        try (SegmentStore store = new SegmentStore(new FileDisk(folder, true), "n0", PAGE)) {
             long segment = 0;
             long in = SEGMENT;
             List<Long> unsynced = new ArrayList<>();
@@ -64,14 +64,14 @@
                         store.seal(segment);
                         unsynced.clear();
                     }
-                    store.open(++segment);
+                    store.createSegment(++segment);
                     in = 0;
                 }
                 AnswerId id = new AnswerId(7, written);
                 for (int k = 0; k < PAGES; k++) {
-                    store.write(id, segment, k, ByteBuffer.wrap(page));
+                    store.appendPage(id, segment, k, ByteBuffer.wrap(page));
                 }
-                store.whole(id, segment, "acme", true, PAGES, Long.MAX_VALUE);
+                store.appendCommit(id, segment, "acme", true, PAGES, Long.MAX_VALUE);
                 ids.add(id);
                 unsynced.add(segment);
                 if (unsynced.size() == GROUP) {
@@ -85,7 +85,7 @@
         }
         double append = (System.nanoTime() - since) / 1e9;
         since = System.nanoTime();
-        try (Store store = new Store(new FileDisk(folder, true), "n0", PAGE)) {
+        try (SegmentStore store = new SegmentStore(new FileDisk(folder, true), "n0", PAGE)) {
             int found = store.recover(remark -> { }).answers().size();
             Rig.require(found == ids.size(), found + " found of " + ids.size());
             double recovery = (System.nanoTime() - since) / 1e9;
@@ -93,7 +93,7 @@
             since = System.nanoTime();
             int reads = 20_000;
             for (int k = 0; k < reads; k++) {
-                store.read(ids.get(chance.nextInt(ids.size())), chance.nextInt(PAGES));
+                store.readPage(ids.get(chance.nextInt(ids.size())), chance.nextInt(PAGES));
             }
             double read = (System.nanoTime() - since) / 1e9;
             String at = String.format("%.1fgb", gb).replace('.', '_');
--- a/src/rig/java/reedspring/rig/MemoryDisk.java
+++ b/src/rig/java/reedspring/rig/MemoryDisk.java
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public OutputFile create(String name) throws IOException {
         step();
         mayFail("creating");
         if (names.containsKey(name)) {
@@ -154,7 +154,7 @@
         }
         Content made = new Content();
         names.put(name, made);
-        return new Out() {
+        return new OutputFile() {
             @Override
             public void write(ByteBuffer from) throws IOException {
                 int length = from.remaining();
@@ -206,9 +206,9 @@
     }
 
     @Override
-    public In open(String name) throws IOException {
+    public InputFile open(String name) throws IOException {
         Content content = content(name);
-        return new In() {
+        return new InputFile() {
             @Override
             public long size() {
                 return content.size;
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         step();
         mayFail("sync of names");
         lasting = new HashMap<>(names);
--- a/src/test/java/reedspring/cli/CommandsTest.java
+++ b/src/test/java/reedspring/cli/CommandsTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Example;
 import reedspring.spool.AnswerId;
 import reedspring.spool.store.FileDisk;
-import reedspring.spool.store.Store;
+import reedspring.spool.store.SegmentStore;
 
 /** Exit codes and output of the command line. */
 class CommandsTest {
@@ -66,12 +66,12 @@
 
     @Example
     void spoolDirectoryIsListedVerifiedAndCleared() throws IOException {
-        try (Store store = new Store(new FileDisk(folder, true), "n0", 100)) {
+        try (SegmentStore store = new SegmentStore(new FileDisk(folder, true), "n0", 100)) {
             for (long segment = 1; segment <= 2; segment++) {
-                store.open(segment);
+                store.createSegment(segment);
                 AnswerId id = new AnswerId(segment, 7);
-                store.write(id, segment, 0, ByteBuffer.wrap("one\n".getBytes()));
-                store.whole(id, segment, "acme", true, 1, segment == 1 ? 10 : LATER);
+                store.appendPage(id, segment, 0, ByteBuffer.wrap("one\n".getBytes()));
+                store.appendCommit(id, segment, "acme", true, 1, segment == 1 ? 10 : LATER);
                 store.sync(segment);
                 if (segment == 1) {
                     store.seal(segment);
--- a/src/test/java/reedspring/settings/SettingsTest.java
+++ b/src/test/java/reedspring/settings/SettingsTest.java
@@ -43,12 +43,12 @@
         InstallationSettings.SpoolSettings spool = read("[spool]\nfolder = " + folder + "\nkey_file = " + key
                 + "\ntotal = 64MB\ntenant_part = 12.5 %\nkeep = 2h\nwaiting = 512 kB\nreads = 7\n"
                 + "group_commit = 20ms\n").spool();
-        assertEquals(64L << 20, spool.terms().total());
-        assertEquals(0.125, spool.terms().tenantPart());
-        assertEquals(7_200 * TICKS_PER_SECOND, spool.terms().keepFor());
-        assertEquals(512 << 10, spool.terms().inMemory());
-        assertEquals(4L << 20, spool.terms().segmentBytes());
-        assertEquals(7, spool.terms().reads());
+        assertEquals(64L << 20, spool.limits().totalBytes());
+        assertEquals(0.125, spool.limits().maxTenantRatio());
+        assertEquals(7_200 * TICKS_PER_SECOND, spool.limits().retention());
+        assertEquals(512 << 10, spool.limits().maxBufferedBytes());
+        assertEquals(4L << 20, spool.limits().segmentBytes());
+        assertEquals(7, spool.limits().maxReads());
         assertEquals(200, spool.groupCommitTicks());
         assertEquals(1, spool.keys().size());
         assertTrue(spool.toString().contains("1 keys"), spool::toString);
@@ -92,7 +92,8 @@
                 .contains("key_file: 16 to 4096 bytes"));
         assertTrue(faults("total = 5\n").toString().contains("total"));
         assertTrue(assertThrows(SettingsException.class,
-                () -> InstallationSettings.read(folder.resolve("none"))).getMessage().contains("can't be read"));
+                () -> InstallationSettings.read(folder.resolve("none")))
+                .getMessage().contains("can't be read"));
     }
 
     /** Random text is either accepted or reported as a {@link SettingsException}. */
--- a/src/test/java/reedspring/spool/SpoolHarness.java
+++ b/src/test/java/reedspring/spool/SpoolHarness.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import reedspring.api.Id;
 import reedspring.rig.MemoryDisk;
-import reedspring.spool.store.Store;
+import reedspring.spool.store.SegmentStore;
 
 /**
  * Simulates the engines, clients and disk threads around a spool and its store in one thread and in virtual
@@ -24,8 +24,8 @@
  */
 final class SpoolHarness {
     static final long SECOND = 10_000;
-    static final Terms TERMS = new Terms(400_000, 0.5, 0.1, 60 * SECOND, 60_000, 1_000, 50_000, 12_000, 4, 2,
-            SECOND, 60 * SECOND);
+    static final SpoolLimits LIMITS = new SpoolLimits(400_000, 0.5, 0.1, 60 * SECOND, 60_000, 1_000, 50_000,
+            12_000, 4, 2, SECOND, 60 * SECOND);
 
     /** A query whose engine has announced an answer. */
     final class Query {
@@ -45,7 +45,7 @@
 
         byte[] pageContent(int page) {
             SplittableRandom pageRandom = new SplittableRandom(contentSeed + page);
-            byte[] content = new byte[1 + pageRandom.nextInt(TERMS.pageBytes())];
+            byte[] content = new byte[1 + pageRandom.nextInt(LIMITS.pageBytes())];
             pageRandom.nextBytes(content);
             return content;
         }
@@ -67,16 +67,16 @@
     /** Answers that were read to their end or released and may therefore be dropped. */
     final Set<AnswerId> evictable = new HashSet<>();
     final Set<AnswerId> corrupt = new HashSet<>();
-    final ArrayDeque<Step> diskActions = new ArrayDeque<>();
-    final ArrayDeque<Word> diskEvents = new ArrayDeque<>();
-    final List<Step.Say> rejectedReads = new ArrayList<>();
+    final ArrayDeque<SpoolAction> diskActions = new ArrayDeque<>();
+    final ArrayDeque<SpoolEvent> diskEvents = new ArrayDeque<>();
+    final List<SpoolAction.RejectRead> rejectedReads = new ArrayList<>();
     final List<String> logTexts = new ArrayList<>();
     final Set<Long> failedSegments = new HashSet<>();
     private final Map<AnswerId, List<Integer>> requestedPages = new HashMap<>();
-    private final Map<Long, List<Word>> unsyncedEvents = new LinkedHashMap<>();
+    private final Map<Long, List<SpoolEvent>> unsyncedEvents = new LinkedHashMap<>();
     private final Map<Long, Integer> activeReads = new HashMap<>();
     Spool spool;
-    Store store;
+    SegmentStore store;
     long now = 1_000_000;
     int lostCount;
     int refusedCount;
@@ -100,49 +100,49 @@
         diskActions.clear();
         diskEvents.clear();
         failedSegments.clear();
-        spool = new Spool(TERMS, random::nextLong);
-        store = new Store(disk, "n0", TERMS.pageBytes());
+        spool = new Spool(LIMITS, random::nextLong);
+        store = new SegmentStore(disk, "n0", LIMITS.pageBytes());
         try {
-            Word.Recovered recovered = store.recover(logTexts::add);
+            SpoolEvent.Recovered recovered = store.recover(logTexts::add);
             send(recovered);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    void send(Word event) {
-        spool.on(now, event, this::handle);
-        require(spool.bufferedBytes() <= 2 * TERMS.inMemory(), "buffered bytes over the limit: "
+    void send(SpoolEvent event) {
+        spool.onEvent(now, event, this::handle);
+        require(spool.bufferedBytes() <= 2 * LIMITS.maxBufferedBytes(), "buffered bytes over the limit: "
                 + spool.bufferedBytes());
-        require(spool.usedBytes() <= TERMS.total(), "disk usage over the limit: " + spool.usedBytes());
+        require(spool.usedBytes() <= LIMITS.totalBytes(), "disk usage over the limit: " + spool.usedBytes());
     }
 
     /** Performs actions for clients and engines at once and queues disk actions for the simulated threads. */
-    private void handle(Step action) {
-        if (action instanceof Step.Take accepted) {
+    private void handle(SpoolAction action) {
+        if (action instanceof SpoolAction.AcceptAnswer accepted) {
             Query query = openQueries.get(accepted.query());
             query.answer = accepted.answer();
             requestedPages.put(accepted.answer(), new ArrayList<>(List.of(0)));
-        } else if (action instanceof Step.AskPage fetch) {
+        } else if (action instanceof SpoolAction.FetchPage fetch) {
             requestedPages.get(fetch.answer()).add(fetch.page());
-        } else if (action instanceof Step.Refuse refuse) {
+        } else if (action instanceof SpoolAction.RefuseAnswer refuse) {
             refusedCount++;
             openQueries.remove(refuse.query()).endWith("refused");
-        } else if (action instanceof Step.Kept keptAction) {
+        } else if (action instanceof SpoolAction.CompleteAnswer keptAction) {
             keptCount++;
             Query query = openQueries.remove(keptAction.query());
             query.endWith("kept");
             requestedPages.remove(keptAction.answer());
             heldAnswers.put(keptAction.answer(), new HeldAnswer(query,
                     new Handle(keptAction.answer(), query.tenant, query.repeatable, keptAction.expiresAt())));
-        } else if (action instanceof Step.Lost lost) {
+        } else if (action instanceof SpoolAction.FailAnswer lost) {
             lostCount++;
             openQueries.remove(lost.query()).endWith("lost");
             requestedPages.remove(lost.answer());
-        } else if (action instanceof Step.Say rejected) {
+        } else if (action instanceof SpoolAction.RejectRead rejected) {
             rejectedReads.add(rejected);
-            activeReads.remove(rejected.reader());
-        } else if (action instanceof Step.Remark remark) {
+            activeReads.remove(rejected.readId());
+        } else if (action instanceof SpoolAction.LogMessage remark) {
             logTexts.add(remark.text());
         } else {
             diskActions.add(action);
@@ -152,7 +152,7 @@
     void begin(String tenant, boolean repeatable, int pages) {
         Query query = new Query(tenant, repeatable, pages);
         openQueries.put(query.id, query);
-        send(new Word.Began(query.id, tenant, repeatable, pages));
+        send(new SpoolEvent.AnswerAnnounced(query.id, tenant, repeatable, pages));
     }
 
     /** Delivers a requested page of a random answer. */
@@ -163,7 +163,7 @@
             AnswerId id = waiting.get(random.nextInt(waiting.size()));
             List<Integer> pages = requestedPages.get(id);
             int page = pages.remove(random.nextInt(pages.size()));
-            send(new Word.PageCame(id, page, query(id).pageContent(page).length));
+            send(new SpoolEvent.PageReceived(id, page, query(id).pageContent(page).length));
         }
     }
 
@@ -180,7 +180,7 @@
             query.endWith("left");
             requestedPages.remove(query.answer);
             abandonedQueries.put(query.answer, query);
-            send(new Word.QueryOver(query.answer));
+            send(new SpoolEvent.QueryEnded(query.answer));
         }
     }
 
@@ -190,30 +190,30 @@
     void requestPage(HeldAnswer answer, int page) {
         long readId = ++lastReadId;
         activeReads.put(readId, page);
-        send(new Word.Asked(readId, answer.handle(), page));
+        send(new SpoolEvent.PageRequested(readId, answer.handle(), page));
     }
 
     void release(HeldAnswer answer) {
         evictable.add(answer.handle().answer());
         heldAnswers.remove(answer.handle().answer());
-        send(new Word.Released(answer.handle()));
+        send(new SpoolEvent.AnswerReleased(answer.handle()));
     }
 
     /** Performs the next queued disk action or delivers the next event; returns false if there is neither. */
     boolean runDiskAction() {
-        Step action = diskActions.poll();
+        SpoolAction action = diskActions.poll();
         if (action == null) {
             sync();
-            Word event = diskEvents.poll();
+            SpoolEvent event = diskEvents.poll();
             if (event != null) {
                 send(event);
             }
             return event != null || !diskActions.isEmpty();
         }
-        long segment = action instanceof Step.OpenSegment open ? open.segment()
-                : action instanceof Step.Write write ? write.segment()
-                : action instanceof Step.CommitAnswer commit ? commit.segment()
-                : action instanceof Step.MoveAnswer move ? move.targetSegment() : -1;
+        long segment = action instanceof SpoolAction.OpenSegment open ? open.segment()
+                : action instanceof SpoolAction.WritePage write ? write.segment()
+                : action instanceof SpoolAction.CommitAnswer commit ? commit.segment()
+                : action instanceof SpoolAction.MoveAnswer move ? move.targetSegment() : -1;
         try {
             if (segment < 0 || !failedSegments.contains(segment)) {
                 perform(action);
@@ -223,8 +223,8 @@
                 failSegment(segment, e);
             }
         }
-        if (action instanceof Step.Write write) {
-            diskEvents.add(new Word.PageWritten(write.answer(), write.page()));
+        if (action instanceof SpoolAction.WritePage write) {
+            diskEvents.add(new SpoolEvent.PageWritten(write.answer(), write.page()));
         }
         if (random.nextInt(4) == 0) {
             sync();
@@ -241,47 +241,48 @@
         }
     }
 
-    private void perform(Step action) throws IOException {
-        if (action instanceof Step.OpenSegment open) {
-            store.open(open.segment());
-        } else if (action instanceof Step.Write write) {
+    private void perform(SpoolAction action) throws IOException {
+        if (action instanceof SpoolAction.OpenSegment open) {
+            store.createSegment(open.segment());
+        } else if (action instanceof SpoolAction.WritePage write) {
             Query query = abandonedQueries.containsKey(write.answer()) ? abandonedQueries.get(write.answer())
                     : openQueries.values().stream().filter(candidate ->
                             write.answer().equals(candidate.answer)).findAny().orElse(null);
             byte[] content = query == null ? new byte[1] : query.pageContent(write.page());
-            store.write(write.answer(), write.segment(), write.page(), ByteBuffer.wrap(content));
-        } else if (action instanceof Step.CommitAnswer commit) {
-            store.whole(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
+            store.appendPage(write.answer(), write.segment(), write.page(), ByteBuffer.wrap(content));
+        } else if (action instanceof SpoolAction.CommitAnswer commit) {
+            store.appendCommit(commit.answer(), commit.segment(), commit.tenant(), commit.repeatable(),
                     commit.pages(), commit.expiresAt());
             unsyncedEvents.computeIfAbsent(commit.segment(), k -> new ArrayList<>())
-                    .add(new Word.AnswerCommitted(commit.answer()));
-        } else if (action instanceof Step.MoveAnswer move) {
+                    .add(new SpoolEvent.AnswerCommitted(commit.answer()));
+        } else if (action instanceof SpoolAction.MoveAnswer move) {
             try {
                 store.move(move.answer(), move.targetSegment());
                 unsyncedEvents.computeIfAbsent(move.targetSegment(), k -> new ArrayList<>())
-                        .add(new Word.AnswerMoved(move.answer(), move.targetSegment()));
-            } catch (Store.CorruptDataException e) {
+                        .add(new SpoolEvent.AnswerMoved(move.answer(), move.targetSegment()));
+            } catch (SegmentStore.CorruptDataException e) {
                 corrupt.add(move.answer());
-                diskEvents.add(new Word.MoveFailed(move.answer(), move.targetSegment(), e.getMessage()));
+                diskEvents.add(new SpoolEvent.MoveFailed(move.answer(), move.targetSegment(),
+                        e.getMessage()));
             }
-        } else if (action instanceof Step.DropAnswer drop) {
+        } else if (action instanceof SpoolAction.DropAnswer drop) {
             store.drop(drop.answer());
-        } else if (action instanceof Step.SealSegment seal) {
+        } else if (action instanceof SpoolAction.SealSegment seal) {
             sync();
             store.seal(seal.segment());
-        } else if (action instanceof Step.DeleteSegment delete) {
+        } else if (action instanceof SpoolAction.DeleteSegment delete) {
             unsyncedEvents.remove(delete.segment());
             failedSegments.remove(delete.segment());
             store.delete(delete.segment());
-        } else if (action instanceof Step.ReadPage page) {
+        } else if (action instanceof SpoolAction.ReadPage page) {
             readPage(page);
         }
     }
 
-    private void readPage(Step.ReadPage request) {
+    private void readPage(SpoolAction.ReadPage request) {
         HeldAnswer answer = heldAnswers.get(request.answer());
         try {
-            ByteBuffer content = store.read(request.answer(), request.page());
+            ByteBuffer content = store.readPage(request.answer(), request.page());
             byte[] bytes = new byte[content.remaining()];
             content.get(bytes);
             require(answer == null || Arrays.equals(bytes, answer.query().pageContent(request.page())),
@@ -291,10 +292,10 @@
                 evictable.add(request.answer());
             }
             activeReads.remove(request.readId());
-            diskEvents.add(new Word.PageRead(request.readId(), request.answer(), request.page()));
+            diskEvents.add(new SpoolEvent.PageRead(request.readId(), request.answer(), request.page()));
         } catch (IOException e) {
             corrupt.add(request.answer());
-            diskEvents.add(new Word.PageCorrupt(request.readId(), request.answer(), request.page(),
+            diskEvents.add(new SpoolEvent.PageCorrupt(request.readId(), request.answer(), request.page(),
                     e.getMessage()));
         }
     }
@@ -314,7 +315,7 @@
     private void failSegment(long segment, IOException e) {
         unsyncedEvents.remove(segment);
         if (failedSegments.add(segment)) {
-            diskEvents.add(new Word.SegmentFailed(segment, e.getMessage()));
+            diskEvents.add(new SpoolEvent.SegmentFailed(segment, e.getMessage()));
         }
     }
 
--- a/src/test/java/reedspring/spool/SpoolTest.java
+++ b/src/test/java/reedspring/spool/SpoolTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static reedspring.spool.SpoolHarness.SECOND;
-import static reedspring.spool.SpoolHarness.TERMS;
+import static reedspring.spool.SpoolHarness.LIMITS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import reedspring.rig.MemoryDisk;
 import reedspring.spool.SpoolHarness.HeldAnswer;
-import reedspring.spool.Step.Reason;
+import reedspring.spool.SpoolAction.Reason;
 
 class SpoolTest {
     private static final String[] TENANTS = {"acme", "bolt", "crow"};
@@ -49,7 +49,7 @@
             }
             default -> {
                 harness.now += random.nextInt((int) (random.nextInt(20) == 0 ? 20 * SECOND : SECOND / 4));
-                harness.send(new Word.Tick());
+                harness.send(new SpoolEvent.Tick());
                 harness.heldAnswers.values().removeIf(answer -> harness.now >= answer.handle().expiresAt());
             }
         }
@@ -65,7 +65,7 @@
         SpoolHarness harness = new SpoolHarness(seed);
         for (int step = 0; step < 1_500; step++) {
             randomStep(harness);
-            assertTrue(harness.disk.used() <= TERMS.total(), "bytes on disk: " + harness.disk.used());
+            assertTrue(harness.disk.used() <= LIMITS.totalBytes(), "bytes on disk: " + harness.disk.used());
         }
         harness.runUntilIdle();
         harness.checkHeldAnswers();
@@ -74,13 +74,13 @@
         assertTrue(harness.keptCount > 20 && harness.pagesRead > 20, harness.keptCount + " kept, "
                 + harness.pagesRead + " read");
         // Expired answers leave no entries behind.
-        harness.now += 2 * TERMS.keepFor();
+        harness.now += 2 * LIMITS.retention();
         for (var q : List.copyOf(harness.openQueries.values())) {
-            harness.send(new Word.QueryOver(q.answer));
+            harness.send(new SpoolEvent.QueryEnded(q.answer));
         }
-        harness.send(new Word.Tick());
+        harness.send(new SpoolEvent.Tick());
         harness.runUntilIdle();
-        harness.send(new Word.Tick());
+        harness.send(new SpoolEvent.Tick());
         harness.runUntilIdle();
         assertTrue(harness.spool.trackedEntries() <= 1, "entries left: " + harness.spool.trackedEntries());
         assertEquals(0, harness.spool.bufferedBytes());
@@ -171,7 +171,7 @@
                 harness.runUntilIdle();
                 if (!harness.rejectedReads.isEmpty()) {
                     gone++;
-                    assertTrue(List.of(Reason.DAMAGED, Reason.GONE)
+                    assertTrue(List.of(Reason.CORRUPT, Reason.GONE)
                             .contains(harness.rejectedReads.get(0).reason()));
                     break;
                 }
@@ -255,7 +255,7 @@
                 harness.deliverPage();
                 harness.runUntilIdle();
             }
-            harness.send(new Word.Tick());
+            harness.send(new SpoolEvent.Tick());
             harness.runUntilIdle();
         }
         assertEquals(before + 1, harness.heldAnswers.size());
@@ -277,7 +277,7 @@
             harness.requestPage(answer, 0);
         }
         assertEquals(Reason.BUSY, harness.rejectedReads.get(2).reason());
-        assertTrue(harness.rejectedReads.get(2).comeBack() > 0);
+        assertTrue(harness.rejectedReads.get(2).retryAfter() > 0);
         harness.runUntilIdle();
         // Pages can be read repeatedly and in any order.
         for (int page : new int[] {2, 2, 0, 1, 0}) {
@@ -307,30 +307,31 @@
         harness.disk.faults(0);
         harness.begin("acme", true, 2);
         assertEquals(3, harness.refusedCount);
-        harness.now += TERMS.initialBackoff();
+        harness.now += LIMITS.initialBackoff();
         keep(harness, "acme", 2);
     }
 
     @Example
     void tenThousandAnswersAreKeptAtOnce() {
-        Terms limits = new Terms(1L << 32, 1, 0, 600 * SECOND, 1 << 20, 6_000, 1 << 26, 1 << 20, 64, 64,
-                SECOND,
+        SpoolLimits limits = new SpoolLimits(1L << 32, 1, 0, 600 * SECOND, 1 << 20, 6_000, 1 << 26, 1 << 20,
+                64, 64, SECOND,
                 60 * SECOND);
         Spool spool = new Spool(limits, new SplittableRandom(1)::nextLong);
-        List<Step> actions = new ArrayList<>();
-        spool.on(1, new Word.Recovered(List.of(), List.of(), 0), actions::add);
+        List<SpoolAction> actions = new ArrayList<>();
+        spool.onEvent(1, new SpoolEvent.Recovered(List.of(), List.of(), 0), actions::add);
         for (int k = 0; k < 10_000; k++) {
             actions.clear();
-            spool.on(1, new Word.Began(new reedspring.api.Id.Query(k), "t" + k % 50, true, 1), actions::add);
-            AnswerId id = actions.stream().filter(Step.Take.class::isInstance).map(s ->
-                    ((Step.Take) s).answer())
+            spool.onEvent(1, new SpoolEvent.AnswerAnnounced(new reedspring.api.Id.Query(k), "t" + k % 50,
+                    true, 1), actions::add);
+            AnswerId id = actions.stream().filter(SpoolAction.AcceptAnswer.class::isInstance).map(s ->
+                    ((SpoolAction.AcceptAnswer) s).answer())
                     .findFirst().orElseThrow();
-            spool.on(1, new Word.PageCame(id, 0, 100), actions::add);
-            spool.on(1, new Word.PageWritten(id, 0), actions::add);
-            spool.on(1, new Word.AnswerCommitted(id), actions::add);
+            spool.onEvent(1, new SpoolEvent.PageReceived(id, 0, 100), actions::add);
+            spool.onEvent(1, new SpoolEvent.PageWritten(id, 0), actions::add);
+            spool.onEvent(1, new SpoolEvent.AnswerCommitted(id), actions::add);
         }
         assertEquals(10_000, spool.keptAnswers());
-        spool.on(700 * SECOND, new Word.Tick(), actions::add);
+        spool.onEvent(700 * SECOND, new SpoolEvent.Tick(), actions::add);
         assertEquals(0, spool.keptAnswers());
     }
 
@@ -340,36 +341,36 @@
     void handlesAreValidOnlyForTheirFrontTenantAndKeys() {
         byte[] oldKey = "an old key of some length".getBytes();
         byte[] newKey = "the key that is used now".getBytes();
-        Handles oldHandles = new Handles("n0", List.of(oldKey));
-        Handles newHandles = new Handles("n0", List.of(newKey, oldKey));
+        HandleCodec oldHandles = new HandleCodec("n0", List.of(oldKey));
+        HandleCodec newHandles = new HandleCodec("n0", List.of(newKey, oldKey));
         Handle handle = new Handle(new AnswerId(7, -9), "acme", true, 123_456);
-        String text = oldHandles.write(handle);
-        assertEquals(handle, newHandles.read(text, "acme"));
-        assertEquals(handle, newHandles.read(newHandles.write(handle), "acme"));
-        assertNull(oldHandles.read(newHandles.write(handle), "acme"), "signed with an unknown key");
-        assertNull(newHandles.read(text, "bolt"), "another tenant");
-        assertNull(new Handles("n1", List.of(oldKey)).read(text, "acme"), "another front");
-        assertNull(new Handles("n0a", List.of(oldKey)).read(new Handles("n0", List.of(oldKey))
-                .write(new Handle(handle.answer(), "acme", true, 5)), "cme"),
+        String text = oldHandles.encode(handle);
+        assertEquals(handle, newHandles.decode(text, "acme"));
+        assertEquals(handle, newHandles.decode(newHandles.encode(handle), "acme"));
+        assertNull(oldHandles.decode(newHandles.encode(handle), "acme"), "signed with an unknown key");
+        assertNull(newHandles.decode(text, "bolt"), "another tenant");
+        assertNull(new HandleCodec("n1", List.of(oldKey)).decode(text, "acme"), "another front");
+        assertNull(new HandleCodec("n0a", List.of(oldKey)).decode(new HandleCodec("n0", List.of(oldKey))
+                .encode(new Handle(handle.answer(), "acme", true, 5)), "cme"),
                 "same concatenation of front and tenant");
-        assertNull(new Handles("n0", List.of(newKey)).read(text, "acme"), "signed with a removed key");
+        assertNull(new HandleCodec("n0", List.of(newKey)).decode(text, "acme"), "signed with a removed key");
     }
 
     @Property(seed = "1705", tries = 300, generation = GenerationMode.RANDOMIZED)
     void alteredHandlesAreRejected(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Handles handles = new Handles("n0", List.of("0123456789abcdef".getBytes()));
+        HandleCodec handles = new HandleCodec("n0", List.of("0123456789abcdef".getBytes()));
         Handle handle = new Handle(new AnswerId(random.nextLong(), random.nextLong()), "acme",
                 random.nextBoolean(), random.nextLong());
-        String text = handles.write(handle);
-        assertNotNull(handles.read(text, "acme"));
+        String text = handles.encode(handle);
+        assertNotNull(handles.decode(text, "acme"));
         // The last character is left out, as some of its bits are padding.
         int position = random.nextInt(text.length() - 1);
         char other = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_!\u00e4 ".charAt(
                 random.nextInt(67));
         String changed = text.substring(0, position) + other + text.substring(position + 1);
-        assertTrue(changed.equals(text) || handles.read(changed, "acme") == null, changed);
-        assertNull(handles.read(text.substring(0, position), "acme"));
-        assertNull(handles.read(text + "AAAA", "acme"));
+        assertTrue(changed.equals(text) || handles.decode(changed, "acme") == null, changed);
+        assertNull(handles.decode(text.substring(0, position), "acme"));
+        assertNull(handles.decode(text + "AAAA", "acme"));
     }
 }
--- a/src/test/java/reedspring/spool/store/KeeperTest.java
+++ b/src/test/java/reedspring/spool/store/StoreWorkerTest.java
@@ -16,26 +16,26 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import reedspring.rig.MemoryDisk;
 import reedspring.spool.AnswerId;
-import reedspring.spool.Step;
-import reedspring.spool.Word;
+import reedspring.spool.SpoolAction;
+import reedspring.spool.SpoolEvent;
 
 /** Tests the reading and writing threads on a disk that stalls and one that fails. */
-class KeeperTest {
+class StoreWorkerTest {
     private final ExecutorService loop = Executors.newSingleThreadExecutor();
-    private final List<Word> events = new CopyOnWriteArrayList<>();
+    private final List<SpoolEvent> events = new CopyOnWriteArrayList<>();
     private final List<String> pages = new CopyOnWriteArrayList<>();
     private final MemoryDisk disk = new MemoryDisk(1);
     private volatile CountDownLatch syncAllowed = new CountDownLatch(0);
     private volatile boolean readsFail;
-    private final Store store = new Store(new StallingDisk(), "n0", 100);
-    private final Keeper keeper = new Keeper(store, loop, new Keeper.Listener() {
+    private final SegmentStore store = new SegmentStore(new StallingDisk(), "n0", 100);
+    private final StoreWorker worker = new StoreWorker(store, loop, new StoreWorker.Listener() {
         @Override
-        public void word(Word event) {
+        public void onEvent(SpoolEvent event) {
             events.add(event);
         }
 
         @Override
-        public void page(long readId, ByteBuffer content) {
+        public void onPage(long readId, ByteBuffer content) {
             byte[] bytes = new byte[content.remaining()];
             content.get(bytes);
             pages.add(new String(bytes));
@@ -50,9 +50,9 @@
         }
 
         @Override
-        public Out create(String name) throws IOException {
-            Out out = disk.create(name);
-            return new Out() {
+        public OutputFile create(String name) throws IOException {
+            OutputFile out = disk.create(name);
+            return new OutputFile() {
                 @Override
                 public void write(ByteBuffer bytes) throws IOException {
                     out.write(bytes);
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public In open(String name) throws IOException {
+        public InputFile open(String name) throws IOException {
             if (readsFail) {
                 throw new IOException("Input/output error");
             }
@@ -94,8 +94,8 @@
         }
 
         @Override
-        public void syncNames() throws IOException {
-            disk.syncNames();
+        public void syncDirectory() throws IOException {
+            disk.syncDirectory();
         }
 
         @Override
@@ -110,73 +110,75 @@
     }
 
     private void keep(AnswerId id, long segment) {
-        keeper.accept(new Step.Write(id, segment, 0), ByteBuffer.wrap(("of " + id).getBytes()));
-        keeper.accept(new Step.CommitAnswer(id, segment, "acme", true, 1, Long.MAX_VALUE), null);
+        worker.accept(new SpoolAction.WritePage(id, segment, 0), ByteBuffer.wrap(("of " + id).getBytes()));
+        worker.accept(new SpoolAction.CommitAnswer(id, segment, "acme", true, 1, Long.MAX_VALUE), null);
     }
 
     @Example
     void readsContinueAndNothingCommitsWhileASyncStalls() throws Exception {
         AnswerId first = new AnswerId(1, 1);
         AnswerId second = new AnswerId(2, 2);
-        keeper.start();
-        keeper.accept(new Step.OpenSegment(1), null);
+        worker.start();
+        worker.accept(new SpoolAction.OpenSegment(1), null);
         keep(first, 1);
-        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
+        await("the commit of the first answer", () -> events.contains(new SpoolEvent.AnswerCommitted(first)));
         syncAllowed = new CountDownLatch(1);
         keep(second, 1);
         // The page is written and no longer buffered, but the answer isn't durable yet.
         await("the second answer's page to be written",
-                () -> events.contains(new Word.PageWritten(second, 0)));
-        keeper.accept(new Step.ReadPage(7, first, 1, 0), null);
-        await("a read during the stalled sync", () -> events.contains(new Word.PageRead(7, first, 0)));
+                () -> events.contains(new SpoolEvent.PageWritten(second, 0)));
+        worker.accept(new SpoolAction.ReadPage(7, first, 1, 0), null);
+        await("a read during the stalled sync", () -> events.contains(new SpoolEvent.PageRead(7, first, 0)));
         assertEquals(List.of("of " + first), pages);
         Thread.sleep(100);
-        assertFalse(events.contains(new Word.AnswerCommitted(second)));
-        assertFalse(keeper.close(50), "close() has to return after its timeout");
+        assertFalse(events.contains(new SpoolEvent.AnswerCommitted(second)));
+        assertFalse(worker.close(50), "close() has to return after its timeout");
         syncAllowed.countDown();
-        await("the commit of the second answer", () -> events.contains(new Word.AnswerCommitted(second)));
+        await("the commit of the second answer",
+                () -> events.contains(new SpoolEvent.AnswerCommitted(second)));
     }
 
     /** A read error must not be reported as corruption, which would drop a committed answer. */
     @Example
     void transientReadErrorsLoseNoAnswer() throws Exception {
         AnswerId first = new AnswerId(1, 1);
-        keeper.start();
-        keeper.accept(new Step.OpenSegment(1), null);
+        worker.start();
+        worker.accept(new SpoolAction.OpenSegment(1), null);
         keep(first, 1);
-        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
+        await("the commit of the first answer", () -> events.contains(new SpoolEvent.AnswerCommitted(first)));
         readsFail = true;
-        keeper.accept(new Step.ReadPage(7, first, 1, 0), null);
+        worker.accept(new SpoolAction.ReadPage(7, first, 1, 0), null);
         await("the result of the failed read",
-                () -> events.stream().anyMatch(event -> event instanceof Word.PageReadFailed
-                || event instanceof Word.PageCorrupt));
-        assertTrue(events.stream().noneMatch(Word.PageCorrupt.class::isInstance), "reported as corrupt: "
-                + events);
+                () -> events.stream().anyMatch(event -> event instanceof SpoolEvent.PageReadFailed
+                || event instanceof SpoolEvent.PageCorrupt));
+        assertTrue(events.stream().noneMatch(SpoolEvent.PageCorrupt.class::isInstance),
+                "reported as corrupt: " + events);
         readsFail = false;
-        keeper.accept(new Step.ReadPage(8, first, 1, 0), null);
-        await("the page", () -> events.contains(new Word.PageRead(8, first, 0)));
+        worker.accept(new SpoolAction.ReadPage(8, first, 1, 0), null);
+        await("the page", () -> events.contains(new SpoolEvent.PageRead(8, first, 0)));
     }
 
     /** A killed process left a segment without an index, and the disk fails when the next one starts. */
     @Example
     void recoveryIsRetriedWhileTheDiskFails() throws Exception {
         AnswerId first = new AnswerId(1, 1);
-        keeper.start();
-        keeper.accept(new Step.OpenSegment(1), null);
+        worker.start();
+        worker.accept(new SpoolAction.OpenSegment(1), null);
         keep(first, 1);
-        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
+        await("the commit of the first answer", () -> events.contains(new SpoolEvent.AnswerCommitted(first)));
         disk.restart();
         disk.faults(1);
         readsFail = true;
         events.clear();
-        Keeper restarted = new Keeper(new Store(new StallingDisk(), "n0", 100), loop, new Keeper.Listener() {
+        StoreWorker restarted = new StoreWorker(new SegmentStore(new StallingDisk(), "n0", 100), loop,
+                new StoreWorker.Listener() {
             @Override
-            public void word(Word event) {
+            public void onEvent(SpoolEvent event) {
                 events.add(event);
             }
 
             @Override
-            public void page(long readId, ByteBuffer content) {
+            public void onPage(long readId, ByteBuffer content) {
                 pages.add("read");
             }
         }, 50);
@@ -184,9 +186,9 @@
         Thread.sleep(200);
         readsFail = false;
         await("the recovered answer",
-                () -> events.stream().anyMatch(event -> event instanceof Word.Recovered found
+                () -> events.stream().anyMatch(event -> event instanceof SpoolEvent.Recovered found
                 && found.answers().stream().anyMatch(answer -> answer.answer().equals(first))));
-        restarted.accept(new Step.ReadPage(7, first, 1, 0), null);
+        restarted.accept(new SpoolAction.ReadPage(7, first, 1, 0), null);
         await("the page", () -> pages.contains("read"));
         assertTrue(restarted.close(5_000));
     }
@@ -196,31 +198,32 @@
         AnswerId first = new AnswerId(1, 1);
         AnswerId second = new AnswerId(2, 2);
         AnswerId third = new AnswerId(3, 3);
-        keeper.start();
-        keeper.accept(new Step.OpenSegment(1), null);
+        worker.start();
+        worker.accept(new SpoolAction.OpenSegment(1), null);
         keep(first, 1);
-        await("the commit of the first answer", () -> events.contains(new Word.AnswerCommitted(first)));
+        await("the commit of the first answer", () -> events.contains(new SpoolEvent.AnswerCommitted(first)));
         syncAllowed = new CountDownLatch(1);
         keep(second, 1);
         disk.faults(1);
         syncAllowed.countDown();
-        await("the segment's failure", () -> events.stream().anyMatch(Word.SegmentFailed.class::isInstance));
+        await("the segment's failure",
+                () -> events.stream().anyMatch(SpoolEvent.SegmentFailed.class::isInstance));
         disk.faults(0);
         keep(third, 1);
         await("the third answer's page to be released",
-                () -> events.contains(new Word.PageWritten(third, 0)));
-        keeper.accept(new Step.SealSegment(1), null);
-        keeper.accept(new Step.OpenSegment(2), null);
+                () -> events.contains(new SpoolEvent.PageWritten(third, 0)));
+        worker.accept(new SpoolAction.SealSegment(1), null);
+        worker.accept(new SpoolAction.OpenSegment(2), null);
         keep(third, 2);
         await("the commit of the third answer in another segment",
-                () -> events.contains(new Word.AnswerCommitted(third)));
-        assertEquals(1, events.stream().filter(Word.SegmentFailed.class::isInstance).count());
-        assertFalse(events.contains(new Word.AnswerCommitted(second)));
-        assertTrue(keeper.close(5_000));
+                () -> events.contains(new SpoolEvent.AnswerCommitted(third)));
+        assertEquals(1, events.stream().filter(SpoolEvent.SegmentFailed.class::isInstance).count());
+        assertFalse(events.contains(new SpoolEvent.AnswerCommitted(second)));
+        assertTrue(worker.close(5_000));
         // The next process recovers the committed answers and no others.
         disk.restart();
-        Word.Recovered found = new Store(disk, "n0", 100).recover(remark -> { });
+        SpoolEvent.Recovered found = new SegmentStore(disk, "n0", 100).recover(remark -> { });
         assertEquals(List.of(first, third),
-                found.answers().stream().map(Word.RecoveredAnswer::answer).toList());
+                found.answers().stream().map(SpoolEvent.RecoveredAnswer::answer).toList());
     }
 }
