--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -29,7 +29,7 @@
     private long lineNumber;
     private long now;
 
-    private record Front(DeploymentReader boot, Control control) {
+    private record Front(DeploymentReader deploymentReader, Control control) {
     }
 
     public Adapter(InputStream input, OutputStream output) {
@@ -80,11 +80,11 @@
                     "CLOSED_ATTEMPT" -> {
                 int instance = (int) line.integer("i");
                 Front front = fronts.get(instance);
-                Event report = front == null ? null : parseReport(front.boot, line);
+                Event report = front == null ? null : parseReport(front.deploymentReader, line);
                 if (report != null) {
                     decide(instance, front, report);
                 }
-                Event event = front == null ? null : parseEvent(front.boot, line);
+                Event event = front == null ? null : parseEvent(front.deploymentReader, line);
                 if (event != null) {
                     decide(instance, front, event);
                 }
@@ -98,15 +98,16 @@
     private void attach(Line line) throws WireException {
         int instance = (int) line.integer("i");
         long seed = line.integer("seed");
-        DeploymentReader boot;
+        DeploymentReader deploymentReader;
         try {
-            boot = new DeploymentReader(line.allFields());
+            deploymentReader = new DeploymentReader(line.allFields());
         } catch (InvalidConfigurationException e) {
             throw line.malformed(e.field(), e.reason());
         }
         List<Action> actions = new ArrayList<>();
         try {
-            Front front = new Front(boot, new Control(seed, boot.deployment(), now, actions::add));
+            Front front = new Front(deploymentReader,
+                    new Control(seed, deploymentReader.deployment(), now, actions::add));
             fronts.put(instance, front);
             write(instance, actions);
         } catch (RuntimeException e) {
@@ -160,9 +161,9 @@
         };
     }
 
-    private Event parseEvent(DeploymentReader boot, Line line) throws WireException {
+    private Event parseEvent(DeploymentReader deploymentReader, Line line) throws WireException {
         return switch (line.name()) {
-            case "WORK_ITEM" -> parseTaken(boot, line);
+            case "WORK_ITEM" -> parseTaken(deploymentReader, line);
             case "ROSTER_CHANGE" -> parseListed(line);
             case "GONE" -> new Event.Left(parseQuery(line));
             case "STATUS_NOTE" -> parseNote(line);
@@ -180,15 +181,15 @@
         return new Id.Submission((int) line.integer("copy"));
     }
 
-    private static Event parseTaken(DeploymentReader boot, Line line) throws WireException {
+    private static Event parseTaken(DeploymentReader deploymentReader, Line line) throws WireException {
         String groupName = line.text("profile");
-        Id.Group group = boot.group(groupName);
+        Id.Group group = deploymentReader.group(groupName);
         if (group == null) {
             throw line.malformed("profile", "'" + groupName + "' is not a class of this instance");
         }
         String key = line.find("target");
         String set = line.find("dataset");
-        return new Event.Taken(parseQuery(line), group, boot.tenant(line.find("realm")),
+        return new Event.Taken(parseQuery(line), group, deploymentReader.tenant(line.find("realm")),
                 set == null ? Id.DataSet.UNKNOWN : new Id.DataSet((long) line.number("dataset", set)),
                 Times.nearestTicks(Math.max(0, line.number("planCostMs", 0))),
                 Math.max(0, line.number("needMb", 0)),
@@ -220,7 +221,7 @@
     }
 
     /** The load report in a line, or null. Its values are in the order of {@code report.columns}. */
-    private static Event parseReport(DeploymentReader boot, Line line) throws WireException {
+    private static Event parseReport(DeploymentReader deploymentReader, Line line) throws WireException {
         String gauge = line.find("gauge");
         String engine = line.find("engine");
         if (gauge == null || engine == null) {
@@ -228,7 +229,7 @@
         }
         Load load = Load.UNKNOWN;
         String[] values = gauge.split(",");
-        List<String> columns = boot.reportColumns();
+        List<String> columns = deploymentReader.reportColumns();
         for (int k = 0; k < Math.min(values.length, columns.size()); k++) {
             load = load.with(columns.get(k), line.number("gauge", values[k]));
         }
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -37,7 +37,7 @@
 final class Front {
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9][0-9.eE+-]{0,31}");
 
-    private final DeploymentReader boot;
+    private final DeploymentReader deploymentReader;
     private final Limits limits;
     private final Clock clock;
     private final Log log;
@@ -70,15 +70,17 @@
     private long heldBytes;
     private long nextLogSummaryAt;
 
-    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader boot, Limits limits, Log log, long seed) {
-        this(loop, turns, boot, limits, log, seed, front -> new EngineConnections(loop, limits, front));
+    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader deploymentReader, Limits limits, Log log,
+          long seed) {
+        this(loop, turns, deploymentReader, limits, log, seed,
+                front -> new EngineConnections(loop, limits, front));
     }
 
     /** @param runner creates the submission runner; must not use the front until the constructor returns */
-    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader boot, Limits limits, Log log, long seed,
-            Function<Front, SubmissionRunner> runner) {
+    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader deploymentReader, Limits limits, Log log,
+          long seed, Function<Front, SubmissionRunner> runner) {
         this.loop = loop;
-        this.boot = boot;
+        this.deploymentReader = deploymentReader;
         this.limits = limits;
         this.clock = new Clock();
         this.log = log;
@@ -92,7 +94,7 @@
         this.engines = runner.apply(this);
         this.nextLogSummaryAt = clock.now() + limits.logIntervalMs * 10L;
         deciding = true;
-        this.control = new Control(seed, boot.deployment(), clock.now(), this::performSafely);
+        this.control = new Control(seed, deploymentReader.deployment(), clock.now(), this::performSafely);
         deciding = false;
         timers.scheduleIn(limits.tickMs * 10L, this::tick);
     }
@@ -213,16 +215,16 @@
      * @return the query, for {@link #startDecisions}, or null if the request was refused and answered here
      */
     OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Request call, long arrivedAt) {
-        QueryRequest request = QueryRequest.of(call, boot, limits);
-        OpenQuery sameTraceQuery = queriesByTrace.get(request.traceId());
-        String fault = request.fault() != null ? request.fault() : findTraceReuse(request);
-        if (request.fault() != null) {
+        QueryRequest queryRequest = QueryRequest.of(call, deploymentReader, limits);
+        OpenQuery sameTraceQuery = queriesByTrace.get(queryRequest.traceId());
+        String fault = queryRequest.fault() != null ? queryRequest.fault() : findTraceReuse(queryRequest);
+        if (queryRequest.fault() != null) {
             counters.add(RequestRefusal.UNUSABLE);
         }
         if (fault != null) {
             log.line("request refused", fault);
             if (sameTraceQuery != null && sameTraceQuery.client == client
-                    && sameTraceQuery.trace.equals(request.trace())) {
+                    && sameTraceQuery.trace.equals(queryRequest.trace())) {
                 client.closeForReusedId(call.id(), fault);
             } else {
                 client.sendError(call.id(), fault);
@@ -230,29 +232,29 @@
             return null;
         }
         if (queriesById.size() >= limits.queries || heldBytes > limits.heldBytes) {
-            recentTraces.add(request.traceId());
+            recentTraces.add(queryRequest.traceId());
             counters.add(RequestRefusal.NO_ROOM);
             client.turnAway(call.id());
             return null;
         }
-        OpenQuery q = createQuery(client, call, request, arrivedAt);
+        OpenQuery q = createQuery(client, call, queryRequest, arrivedAt);
         queriesById.put(q.id, q);
         queriesByTrace.put(q.traceId, q);
         recentTraces.add(q.traceId);
         addHeldBytes(q.statement.readableBytes());
         q.expiryTimer = timers.scheduleAt(q.deadline + limits.fallbackAnswerMs * 10L, () -> failOverdue(q));
-        q.takenEvent = new Event.Taken(q.id, request.group(), request.tenant(),
-                StatementScanner.findDataSet(q.statement), Times.nearestTicks(request.estimateMs()),
-                request.needMb(), q.deadline, null);
+        q.takenEvent = new Event.Taken(q.id, queryRequest.group(), queryRequest.tenant(),
+                StatementScanner.findDataSet(q.statement), Times.nearestTicks(queryRequest.estimateMs()),
+                queryRequest.needMb(), q.deadline, null);
         return q;
     }
 
     /** Records the trace of a request that is turned away; its client must retry under a new one. */
     void recordTurnedAway(RpcDecoder.Request call) {
-        QueryRequest request = QueryRequest.of(call, boot, limits);
+        QueryRequest queryRequest = QueryRequest.of(call, deploymentReader, limits);
         counters.add(RequestRefusal.NO_ROOM);
-        if (request.fault() == null) {
-            recentTraces.add(request.traceId());
+        if (queryRequest.fault() == null) {
+            recentTraces.add(queryRequest.traceId());
         }
     }
 
@@ -273,12 +275,14 @@
         return null;
     }
 
-    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Request call, QueryRequest request,
+    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Request call, QueryRequest queryRequest,
                              long arrivedAt) {
-        Deployment.ResourceGroup resourceGroup = boot.deployment().groups().get(request.group().index());
-        OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, request,
-                Math.min(leavingDeadline, arrivedAt + Times.nearestTicks(request.timeoutMs())),
-                new QueryLifecycle(resourceGroup, boot.deployment().capabilities().maxSubmissions()));
+        Deployment.ResourceGroup resourceGroup =
+                deploymentReader.deployment().groups().get(queryRequest.group().index());
+        OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, queryRequest,
+                Math.min(leavingDeadline, arrivedAt + Times.nearestTicks(queryRequest.timeoutMs())),
+                new QueryLifecycle(resourceGroup,
+                        deploymentReader.deployment().capabilities().maxSubmissions()));
         q.arrivedAt = arrivedAt;
         q.history.add(Step.TAKEN, null, arrivedAt);
         q.wantsPages = keptAnswers != null && "1".equals(call.fields().get("pages"));
--- a/src/main/java/reedspring/net/FrontConfiguration.java
+++ b/src/main/java/reedspring/net/FrontConfiguration.java
@@ -13,7 +13,7 @@
 
 /** The validated content of a front's configuration file. */
 record FrontConfiguration(String name, InetSocketAddress listen, InetSocketAddress journal, long seed,
-                          Map<?, ?> known, DeploymentReader boot, Limits limits) {
+                          Map<?, ?> known, DeploymentReader deploymentReader, Limits limits) {
     private static final int MIN_SOCKETS = 64;
     /** The run command of the deployment has the same default: it sizes the heap before the JVM starts. */
     private static final int DEFAULT_MEMORY_MB = 192;
@@ -28,9 +28,9 @@
      */
     static FrontConfiguration read(String path) throws IOException, InvalidConfigurationException {
         Map<?, ?> root = readFile(path);
-        DeploymentReader boot = new DeploymentReader(
+        DeploymentReader deploymentReader = new DeploymentReader(
                 Json.toPairs(Json.map(root.get("settings"), "settings")));
-        if (boot.deployment().groups().isEmpty()) {
+        if (deploymentReader.deployment().groups().isEmpty()) {
             throw new InvalidConfigurationException("settings.classes", "missing");
         }
         Map<?, ?> limits = Json.map(root.get("limits"), "limits");
@@ -47,8 +47,8 @@
         return new FrontConfiguration(Json.text(root, "name"),
                 parseAddress(Json.text(root, "listen"), "listen"),
                 parseAddress(Json.text(root, "journal"), "journal"), parseSeed(Json.text(root, "seed")),
-                Json.map(root.get("known"), "known"), boot,
-                new Limits(boot, (int) Math.min(sockets, Integer.MAX_VALUE), memoryMb));
+                Json.map(root.get("known"), "known"), deploymentReader,
+                new Limits(deploymentReader, (int) Math.min(sockets, Integer.MAX_VALUE), memoryMb));
     }
 
     private static Map<?, ?> readFile(String path) throws IOException, InvalidConfigurationException {
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -25,28 +25,28 @@
 
 /**
  * Connects the spool, which keeps answers on disk, to the front. Delivers what engines and clients send to
- * the spool, and performs the steps that it asks for, on the loop or by its disk threads. Confined to the
+ * the spool, and performs the actions that it decides on, on the loop or by its disk threads. Confined to the
  * event loop, except {@link #close}.
  */
 final class KeptAnswers implements StoreWorker.Listener {
     private static final String UNKNOWN_HANDLE = "no such handle";
 
     private final Front front;
-    private final SpoolLimits terms;
+    private final SpoolLimits limits;
     private final Spool spool;
-    private final StoreWorker keeper;
+    private final StoreWorker storeWorker;
     private final HandleCodec handles;
     private final Map<Id.Query, Submission> submissionsByQuery = new HashMap<>();
     private final Map<AnswerId, Submission> submissionsByAnswer = new HashMap<>();
     private final Map<Long, PageRead> pageReads = new HashMap<>();
-    /** Words for the spool; one that arrives while another is being processed is queued. */
-    private final ArrayDeque<QueuedWord> queuedWords = new ArrayDeque<>();
+    /** Events for the spool; one that arrives while another is being processed is queued. */
+    private final ArrayDeque<QueuedEvent> queuedEvents = new ArrayDeque<>();
     private boolean delivering;
     private ByteBuffer currentPageText;
     private long lastReadId;
 
-    /** An event for the spool, with the text of the page if it brings one, else null. */
-    private record QueuedWord(SpoolEvent word, ByteBuffer text) {
+    /** An event for the spool, with the text of the page if it has one, else null. */
+    private record QueuedEvent(SpoolEvent event, ByteBuffer text) {
     }
 
     /** A client's request for a page, until it is answered. */
@@ -54,41 +54,41 @@
     }
 
     /** Opens the spool folder. The disk threads scan it in the background; no answer is kept until then. */
-    KeptAnswers(Front front, EventLoop loop, String name, SpoolSettings orders) throws IOException {
+    KeptAnswers(Front front, EventLoop loop, String name, SpoolSettings settings) throws IOException {
         this.front = front;
-        this.terms = orders.limits();
-        this.handles = new HandleCodec(name, orders.keys());
+        this.limits = settings.limits();
+        this.handles = new HandleCodec(name, settings.keys());
         SecureRandom random = new SecureRandom();
-        this.spool = new Spool(terms, random::nextLong);
-        this.keeper = new StoreWorker(new SegmentStore(new FileDisk(orders.folder(), true), name,
-                terms.pageBytes()), loop,
-                this, orders.groupCommitTicks());
-        keeper.start();
+        this.spool = new Spool(limits, random::nextLong);
+        this.storeWorker = new StoreWorker(
+                new SegmentStore(new FileDisk(settings.folder(), true), name, limits.pageBytes()), loop,
+                this, settings.groupCommitTicks());
+        storeWorker.start();
     }
 
     /** Stops the disk threads once queued writes are done; must not be called on the loop. */
     boolean close(long timeoutMs) throws InterruptedException {
-        return keeper.close(timeoutMs);
+        return storeWorker.close(timeoutMs);
     }
 
     void tick() {
         deliver(new SpoolEvent.Tick());
     }
 
-    private void deliver(SpoolEvent word) {
-        deliver(word, null);
+    private void deliver(SpoolEvent event) {
+        deliver(event, null);
     }
 
-    private void deliver(SpoolEvent word, ByteBuffer text) {
-        queuedWords.add(new QueuedWord(word, text));
+    private void deliver(SpoolEvent event, ByteBuffer text) {
+        queuedEvents.add(new QueuedEvent(event, text));
         if (delivering) {
             return;
         }
         delivering = true;
         try {
-            for (QueuedWord next = queuedWords.poll(); next != null; next = queuedWords.poll()) {
+            for (QueuedEvent next = queuedEvents.poll(); next != null; next = queuedEvents.poll()) {
                 currentPageText = next.text();
-                spool.onEvent(front.clock().now(), next.word(), this::performStep);
+                spool.onEvent(front.clock().now(), next.event(), this::performAction);
             }
         } finally {
             currentPageText = null;
@@ -160,35 +160,35 @@
         return text == null || tenant == null ? null : handles.decode(text, tenant);
     }
 
-    // ---- what the spool asks for
+    // ---- actions of the spool
 
-    /** Performs a step that the spool asks for. */
-    private void performStep(SpoolAction step) {
-        if (step instanceof SpoolAction.AcceptAnswer take) {
-            Submission s = submissionsByQuery.get(take.query());
-            s.keptAnswerId = take.answer();
-            submissionsByAnswer.put(take.answer(), s);
+    /** Performs an action that the spool has decided on. */
+    private void performAction(SpoolAction action) {
+        if (action instanceof SpoolAction.AcceptAnswer accepted) {
+            Submission s = submissionsByQuery.get(accepted.query());
+            s.keptAnswerId = accepted.answer();
+            submissionsByAnswer.put(accepted.answer(), s);
             pageReceived(s, 0, s.pages[0]);
-        } else if (step instanceof SpoolAction.RefuseAnswer refuse) {
-            front.log().line("answer not kept", refuse.reason());
-            endNotKept(submissionsByQuery.get(refuse.query()));
-        } else if (step instanceof SpoolAction.FailAnswer lost) {
-            front.log().line("answer not kept", lost.reason());
-            Submission s = submissionsByAnswer.remove(lost.answer());
+        } else if (action instanceof SpoolAction.RefuseAnswer refused) {
+            front.log().line("answer not kept", refused.reason());
+            endNotKept(submissionsByQuery.get(refused.query()));
+        } else if (action instanceof SpoolAction.FailAnswer failed) {
+            front.log().line("answer not kept", failed.reason());
+            Submission s = submissionsByAnswer.remove(failed.answer());
             endNotKept(s);
-        } else if (step instanceof SpoolAction.FetchPage ask) {
-            Submission s = submissionsByAnswer.get(ask.answer());
+        } else if (action instanceof SpoolAction.FetchPage fetch) {
+            Submission s = submissionsByAnswer.get(fetch.answer());
             if (s != null) {
-                s.connection.requestPage(s, ask.page());
+                s.connection.requestPage(s, fetch.page());
             }
-        } else if (step instanceof SpoolAction.CompleteAnswer kept) {
-            endKept(kept);
-        } else if (step instanceof SpoolAction.RejectRead say) {
-            answerFailedRead(say);
-        } else if (step instanceof SpoolAction.LogMessage remark) {
-            front.log().warnText("spool", remark.text());
+        } else if (action instanceof SpoolAction.CompleteAnswer completed) {
+            endKept(completed);
+        } else if (action instanceof SpoolAction.RejectRead rejected) {
+            answerFailedRead(rejected);
+        } else if (action instanceof SpoolAction.LogMessage message) {
+            front.log().warnText("spool", message.text());
         } else {
-            keeper.accept(step, step instanceof SpoolAction.WritePage ? currentPageText : null);
+            storeWorker.accept(action, action instanceof SpoolAction.WritePage ? currentPageText : null);
         }
     }
 
@@ -212,18 +212,18 @@
     }
 
     /** Answers a client's request for a page that can't be read. */
-    private void answerFailedRead(SpoolAction.RejectRead say) {
-        PageRead pageRead = pageReads.remove(say.readId());
-        String reasonText = switch (say.reason()) {
+    private void answerFailedRead(SpoolAction.RejectRead rejected) {
+        PageRead pageRead = pageReads.remove(rejected.readId());
+        String reasonText = switch (rejected.reason()) {
             case EXPIRED -> "the answer has expired";
             case GONE -> "the answer is not kept any more";
             case CORRUPT -> "the answer can't be read any more";
             case NO_SUCH_PAGE -> "no such page";
             case BUSY -> "too many pages are being read";
         };
-        if (say.reason() == SpoolAction.Reason.BUSY) {
-            pageRead.client().deferPageRead(pageRead.messageId(), say.retryAfter() / 10, reasonText);
-        } else if (say.reason() != SpoolAction.Reason.NO_SUCH_PAGE && pageRead.handle().repeatable()) {
+        if (rejected.reason() == SpoolAction.Reason.BUSY) {
+            pageRead.client().deferPageRead(pageRead.messageId(), rejected.retryAfter() / 10, reasonText);
+        } else if (rejected.reason() != SpoolAction.Reason.NO_SUCH_PAGE && pageRead.handle().repeatable()) {
             pageRead.client().shedPageRead(pageRead.messageId(), reasonText);
         } else {
             pageRead.client().failPageRead(pageRead.messageId(), reasonText);
@@ -231,9 +231,9 @@
     }
 
     @Override
-    public void onEvent(SpoolEvent word) {
+    public void onEvent(SpoolEvent event) {
         try {
-            deliver(word);
+            deliver(event);
         } catch (RuntimeException | Error e) {
             front.log().error("spool failed", e);
         }
--- a/src/main/java/reedspring/net/Limits.java
+++ b/src/main/java/reedspring/net/Limits.java
@@ -132,7 +132,8 @@
     /** Messages to a connection in one turn of the loop that are combined into one write at most. */
     final int maxMessagesPerWrite = 256;
 
-    Limits(DeploymentReader boot, int sockets, long memoryMb) throws InvalidConfigurationException {
+    Limits(DeploymentReader deploymentReader, int sockets, long memoryMb)
+            throws InvalidConfigurationException {
         // A twelfth of the memory. Direct buffers have a quarter and grow by doubling. With a tenth, doubled,
         // too little was left for reads and copies: 4 of 8 overload runs exhausted direct memory.
         heldBytes = (memoryMb << 20) / 12;
@@ -150,12 +151,12 @@
         allEngineConnections = Math.max(4, Math.min(sockets / 4, available / 3));
         engineConnections = Math.max(1, Math.min(8, sockets / 64));
         clientConnections = Math.min(sockets / 2, available - allEngineConnections - maxLingering);
-        connectionQueries = Math.max(1, (int) boot.number("allowed.multiplex", 32));
-        connectTimeoutMs = Math.max(1, (int) boot.number("allowed.connectTimeoutMs", 1_000));
+        connectionQueries = Math.max(1, (int) deploymentReader.number("allowed.multiplex", 32));
+        connectTimeoutMs = Math.max(1, (int) deploymentReader.number("allowed.connectTimeoutMs", 1_000));
         // The engine closes idle connections at the full time; the outcome of a submission sent in the same
         // moment would be unknown.
-        engineIdleMs = (int) (boot.number("allowed.idleCloseMs", 30_000) * 0.8);
-        double longestQueueTimeoutMs = boot.longestTimeout();
+        engineIdleMs = (int) (deploymentReader.number("allowed.idleCloseMs", 30_000) * 0.8);
+        double longestQueueTimeoutMs = deploymentReader.longestTimeout();
         maxPatienceMs = longestQueueTimeoutMs > 0 ? 2 * longestQueueTimeoutMs : 1e9;
         int countedQueueTimeoutMs = longestQueueTimeoutMs > 0
                 ? (int) Math.min(longestQueueTimeoutMs, MAX_COUNTED_QUEUE_TIMEOUT_MS)
@@ -164,7 +165,7 @@
         shutdownQuietMs = Math.min(DEFAULT_QUIET_MS, killAtMs - CLOSED_BEFORE_KILL_MS);
         shutdownAnsweredMs = killAtMs - ANSWERED_BEFORE_KILL_MS;
         shutdownEndMs = killAtMs - EXIT_BEFORE_KILL_MS;
-        Deployment.Capabilities allowed = boot.deployment().capabilities();
-        retryAfterMs = allowed.retryTimes() ? (int) (allowed.maxRetryAfter() / 10) : 0;
+        Deployment.Capabilities capabilities = deploymentReader.deployment().capabilities();
+        retryAfterMs = capabilities.retryTimes() ? (int) (capabilities.maxRetryAfter() / 10) : 0;
     }
 }
--- a/src/main/java/reedspring/net/OpenQuery.java
+++ b/src/main/java/reedspring/net/OpenQuery.java
@@ -41,16 +41,16 @@
     long loopDelay;
 
     /** Retains the request's body, until {@link Front} releases the query. */
-    OpenQuery(Id.Query id, RpcDecoder.Request call, ClientConnection client, QueryRequest request,
+    OpenQuery(Id.Query id, RpcDecoder.Request call, ClientConnection client, QueryRequest queryRequest,
               long deadline, QueryLifecycle lifecycle) {
         this.id = id;
         this.messageId = call.id();
         this.client = client;
-        this.trace = request.trace();
-        this.traceId = request.traceId();
+        this.trace = queryRequest.trace();
+        this.traceId = queryRequest.traceId();
         this.group = call.method();
         this.statement = call.body().retain();
-        this.repeatToken = request.repeatToken();
+        this.repeatToken = queryRequest.repeatToken();
         this.deadline = deadline;
         this.lifecycle = lifecycle;
     }
--- a/src/main/java/reedspring/net/QueryRequest.java
+++ b/src/main/java/reedspring/net/QueryRequest.java
@@ -25,17 +25,17 @@
     private static final int HEX_RADIX = 16;
 
     /** Parses a request's fields and validates them against the deployment and the limits. */
-    static QueryRequest of(RpcDecoder.Request call, DeploymentReader boot, Limits limits) {
+    static QueryRequest of(RpcDecoder.Request call, DeploymentReader deploymentReader, Limits limits) {
         Map<String, String> fields = call.fields();
         String trace = fields.get("trace");
         boolean validTrace = trace != null && TRACE_PATTERN.matcher(trace).matches();
-        QueryRequest request = new QueryRequest(boot.group(call.method()),
-                boot.tenant(fields.get("customer")), parseNumber(fields, "patience"),
+        QueryRequest queryRequest = new QueryRequest(deploymentReader.group(call.method()),
+                deploymentReader.tenant(fields.get("customer")), parseNumber(fields, "patience"),
                 parseNumber(fields, "weight"), parseNumber(fields, "need_mb"), trace,
                 validTrace ? Long.parseUnsignedLong(trace, HEX_RADIX) : 0, fields.get("nonce"), null);
-        String fault = validTrace ? request.findFault(call, boot, limits)
-                : request.group == null ? "no such method" : "trace: 16 hex digits are wanted";
-        return fault == null ? request : request.withFault(fault);
+        String fault = validTrace ? queryRequest.findFault(call, deploymentReader, limits)
+                : queryRequest.group == null ? "no such method" : "trace: 16 hex digits are wanted";
+        return fault == null ? queryRequest : queryRequest.withFault(fault);
     }
 
     private QueryRequest withFault(String fault) {
@@ -44,7 +44,7 @@
     }
 
     /** Returns why the request is invalid, or null; for a request with a valid trace. */
-    private String findFault(RpcDecoder.Request call, DeploymentReader boot, Limits limits) {
+    private String findFault(RpcDecoder.Request call, DeploymentReader deploymentReader, Limits limits) {
         if (group == null) {
             return "no such method";
         }
@@ -57,7 +57,7 @@
         if (!(needMb <= limits.maxEstimate)) {
             return "need_mb: megabytes are wanted";
         }
-        if (tenant == Id.Tenant.NOBODY && !boot.deployment().tenants().isEmpty()) {
+        if (tenant == Id.Tenant.NOBODY && !deploymentReader.deployment().tenants().isEmpty()) {
             return "no such customer";
         }
         if (repeatToken != null && !REPEAT_TOKEN_PATTERN.matcher(repeatToken).matches()) {
--- a/src/main/java/reedspring/net/Shutdown.java
+++ b/src/main/java/reedspring/net/Shutdown.java
@@ -14,16 +14,16 @@
 
     private final Front front;
     private final Limits limits;
-    private final ClientConnections roster;
+    private final ClientConnections clientConnections;
     private final long startedAt;
     private Runnable onComplete;
     private long acceptedAtLastCheck;
 
     /** @param startedAt when the front was told to stop */
-    Shutdown(Front front, Limits limits, ClientConnections roster, long startedAt) {
+    Shutdown(Front front, Limits limits, ClientConnections clientConnections, long startedAt) {
         this.front = front;
         this.limits = limits;
-        this.roster = roster;
+        this.clientConnections = clientConnections;
         this.startedAt = startedAt;
     }
 
@@ -35,15 +35,15 @@
 
     private void check() {
         long elapsedTicks = front.clock().now() - startedAt;
-        boolean acceptedMore = roster.acceptedCount() != acceptedAtLastCheck;
-        acceptedAtLastCheck = roster.acceptedCount();
+        boolean acceptedMore = clientConnections.acceptedCount() != acceptedAtLastCheck;
+        acceptedAtLastCheck = clientConnections.acceptedCount();
         if (elapsedTicks < limits.shutdownQuietMs * 10L
                 || !front.allAnswered() && elapsedTicks < limits.shutdownAnsweredMs * 10L
                 + limits.fallbackAnswerMs * 20L) {
             checkLater();
             return;
         }
-        List<ClientConnection> open = roster.openConnections();
+        List<ClientConnection> open = clientConnections.openConnections();
         // Requests can arrive only on connections that are still open. What is unread there is accepted.
         open.forEach(ClientConnection::readAndCheckOpen);
         // One loop turn accepts a limited number of connections and reads only part of a long request. After
@@ -55,7 +55,7 @@
             return;
         }
         front.closeListener();
-        roster.openConnections().forEach(client -> client.closeGracefully(CloseReason.FRONT_ENDS));
+        clientConnections.openConnections().forEach(client -> client.closeGracefully(CloseReason.FRONT_ENDS));
         awaitClients(front.clock().now(), startedAt + limits.shutdownEndMs * 10L);
     }
 
@@ -69,8 +69,9 @@
      */
     private void awaitClients(long lingerStart, long deadline) {
         long now = front.clock().now();
-        boolean allRead = roster.lingeringConnections().stream().noneMatch(ClientConnection::hasPendingBytes);
-        if (roster.lingeringConnections().isEmpty() || now >= deadline
+        boolean allRead = clientConnections.lingeringConnections().stream()
+                .noneMatch(ClientConnection::hasPendingBytes);
+        if (clientConnections.lingeringConnections().isEmpty() || now >= deadline
                 || now >= lingerStart + limits.shutdownLingerMs * 10L && allRead) {
             front.log().info("left", "");
             front.logSummary();
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -197,8 +197,8 @@
         try {
             return loop.submit(() -> {
                 Log log = new Log(configuration.limits(), features == null ? null : features.jsonLines());
-                Front front = new Front(loop, turns, configuration.boot(), configuration.limits(), log,
-                        configuration.seed());
+                Front front = new Front(loop, turns, configuration.deploymentReader(), configuration.limits(),
+                        log, configuration.seed());
                 if (features != null) {
                     features.install(front, loop, configuration.name());
                 }
@@ -290,8 +290,7 @@
                         ClientConnection client = new ClientConnection(front, guard.earliestArrival());
                         channel.pipeline().addLast(client.socketReads(),
                                 new FlushConsolidationHandler(limits.maxMessagesPerWrite, true),
-                                client.decoder(),
-                                        client);
+                                client.decoder(), client);
                         if (!front.clientConnections().add(client)) {
                             channel.close();
                         }
--- a/src/main/java/reedspring/settings/InstallationSettings.java
+++ b/src/main/java/reedspring/settings/InstallationSettings.java
@@ -73,14 +73,14 @@
         }
         long firstRest = ini.duration(section, "first_rest", TICKS_PER_SECOND, 10 * TICKS_PER_MS,
                 600 * TICKS_PER_SECOND);
-        SpoolLimits terms = new SpoolLimits(total, ini.percentage(section, "tenant_part", 0.25), headroom,
+        SpoolLimits limits = new SpoolLimits(total, ini.percentage(section, "tenant_part", 0.25), headroom,
                 ini.duration(section, "keep", 600 * TICKS_PER_SECOND, TICKS_PER_SECOND, 30 * TICKS_PER_DAY),
                 longest, PAGE_BYTES, segment, ini.size(section, "waiting", 4 * MB, 64 * KB, GB),
                 (int) ini.count(section, "reads", 256, 1, 10_000),
                 (int) ini.count(section, "tenant_reads", 128, 1, 10_000), firstRest,
                 ini.duration(section, "longest_rest", Math.max(60 * TICKS_PER_SECOND, firstRest), firstRest,
                         3_600 * TICKS_PER_SECOND));
-        return new SpoolSettings(folder, keys, terms,
+        return new SpoolSettings(folder, keys, limits,
                 ini.duration(section, "group_commit", 5 * TICKS_PER_MS, 0, TICKS_PER_SECOND));
     }
 
--- a/src/main/java/reedspring/spool/Spool.java
+++ b/src/main/java/reedspring/spool/Spool.java
@@ -94,10 +94,10 @@
     }
 
     /** @param randomBits returns 64 unpredictable bits per call, for answer ids */
-    public Spool(SpoolLimits terms, LongSupplier randomBits) {
-        this.limits = terms;
+    public Spool(SpoolLimits limits, LongSupplier randomBits) {
+        this.limits = limits;
         this.randomBits = randomBits;
-        this.backoff = terms.initialBackoff();
+        this.backoff = limits.initialBackoff();
     }
 
     /** Processes one event and passes the resulting actions to the consumer. */
@@ -312,8 +312,7 @@
             answer.committing = true;
             answer.expiresAt = now + limits.retention();
             actions.accept(new SpoolAction.CommitAnswer(answer.id, answer.segment, answer.tenant,
-                    answer.repeatable, answer.pageCount,
-                    answer.expiresAt));
+                    answer.repeatable, answer.pageCount, answer.expiresAt));
         }
     }
 
@@ -667,7 +666,6 @@
             answers.put(restoredAnswer.id, restoredAnswer);
         }
         actions.accept(new SpoolAction.LogMessage("spool: " + latest.size() + " answers found, " + expired
-                + " expired, " + incomplete
-                + " incomplete"));
+                + " expired, " + incomplete + " incomplete"));
     }
 }
--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -113,7 +113,7 @@
     private Object[] raise(Path config) throws InvalidConfigurationException, IOException {
         FrontConfiguration orders = FrontConfiguration.read(config.toString());
         Log log = new Log(orders.limits(), this::line);
-        Front made = new Front(on.loop, on.turns, orders.boot(), orders.limits(), log, orders.seed(),
+        Front made = new Front(on.loop, on.turns, orders.deploymentReader(), orders.limits(), log, orders.seed(),
                 Runner::new);
         Journal follower = Startup.followJournal(on.loop, made, orders);
         return new Object[] {new SplittableRandom(orders.seed()), made, follower};
