--- a/src/main/java/reedspring/cli/Commands.java
+++ b/src/main/java/reedspring/cli/Commands.java
@@ -9,8 +9,8 @@
 import reedspring.adapter.Adapter;
 import reedspring.adapter.WireException;
 import reedspring.net.Startup;
-import reedspring.settings.SettingsException;
 import reedspring.settings.InstallationSettings;
+import reedspring.settings.SettingsException;
 
 /**
  * The command line for operators. The platform's two command lines are not handled here: {@code Main} runs
--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -87,11 +87,11 @@
         lastUsedAt = front.clock().now();
         if (closing || !ctx.channel().isOpen()) {
             // Read in one go with the message that caused the close, but behind it.
-            if (message instanceof RpcDecoder.Request call && call.body() != null) {
-                call.body().release();
+            if (message instanceof RpcDecoder.Request request && request.body() != null) {
+                request.body().release();
             }
-        } else if (message instanceof RpcDecoder.Request call) {
-            handleRequest(call);
+        } else if (message instanceof RpcDecoder.Request request) {
+            handleRequest(request);
         } else if (message instanceof RpcDecoder.Refused refused) {
             turnAway(refused.id());
         } else if (message instanceof RpcDecoder.Notification notification
@@ -103,50 +103,50 @@
         }
     }
 
-    private void handleRequest(RpcDecoder.Request call) {
+    private void handleRequest(RpcDecoder.Request request) {
         try {
-            if (openQueries.containsKey(call.id())) {
+            if (openQueries.containsKey(request.id())) {
                 // An answer under this id could belong to either request, so neither may get rows.
-                closeForReusedId(call.id(), "the id is open already");
-            } else if (call.fault() != null) {
-                sendError(call.id(), call.fault());
-            } else if (call.method().equals("heartbeat")) {
+                closeForReusedId(request.id(), "the id is open already");
+            } else if (request.fault() != null) {
+                sendError(request.id(), request.fault());
+            } else if (request.method().equals("heartbeat")) {
                 markUsed();
-                writeAnswer(RpcWriter.heartbeat(context.alloc(), call.id(), front.isReady()));
-            } else if (front.keptAnswers() != null && (call.method().equals("page")
-                    || call.method().equals("release"))) {
-                handleKeptAnswerRequest(call);
+                writeAnswer(RpcWriter.heartbeat(context.alloc(), request.id(), front.isReady()));
+            } else if (front.keptAnswers() != null && (request.method().equals("page")
+                    || request.method().equals("release"))) {
+                handleKeptAnswerRequest(request);
             } else if (openQueries.size() + unsentAnswers >= front.limits().maxClientQueries) {
-                front.recordTurnedAway(call);
-                turnAway(call.id());
+                front.recordTurnedAway(request);
+                turnAway(request.id());
             } else {
-                OpenQuery q = front.acceptRequest(this, call, socketReads.earliestArrival());
+                OpenQuery q = front.acceptRequest(this, request, socketReads.earliestArrival());
                 if (q != null) {
                     markUsed();
-                    openQueries.put(call.id(), q);
+                    openQueries.put(request.id(), q);
                     front.startDecisions(q);
                 }
             }
         } finally {
-            if (call.body() != null) {
-                call.body().release();
+            if (request.body() != null) {
+                request.body().release();
             }
         }
     }
 
     /** Handles a request to read a page of a kept answer, or to release it. */
-    private void handleKeptAnswerRequest(RpcDecoder.Request call) {
-        if (pageReads.contains(call.id())) {
-            closeForReusedId(call.id(), "the id is open already");
-        } else if (call.method().equals("release")) {
+    private void handleKeptAnswerRequest(RpcDecoder.Request request) {
+        if (pageReads.contains(request.id())) {
+            closeForReusedId(request.id(), "the id is open already");
+        } else if (request.method().equals("release")) {
             markUsed();
-            front.keptAnswers().release(this, call.id(), call.fields());
+            front.keptAnswers().release(this, request.id(), request.fields());
         } else if (pageReads.size() >= front.limits().maxClientQueries) {
-            turnAway(call.id());
+            turnAway(request.id());
         } else {
             markUsed();
-            pageReads.add(call.id());
-            front.keptAnswers().requestPage(this, call.id(), call.fields());
+            pageReads.add(request.id());
+            front.keptAnswers().requestPage(this, request.id(), request.fields());
         }
     }
 
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -299,8 +299,8 @@
         }
     }
 
-    private void sendCommand(String... words) {
-        if (writeCommand(null, words)) {
+    private void sendCommand(String... arguments) {
+        if (writeCommand(null, arguments)) {
             channel.flush();
         }
     }
@@ -309,10 +309,10 @@
      * Writes a command without flushing. Returns false if nothing was written, because memory was lacking or
      * the connection had closed.
      */
-    private boolean writeCommand(ByteBuf body, String... words) {
+    private boolean writeCommand(ByteBuf body, String... arguments) {
         Throwable failure;
         try {
-            failure = channel.write(buildCommand(body, words)).cause();
+            failure = channel.write(buildCommand(body, arguments)).cause();
         } catch (OutOfMemoryError e) {
             failure = e;
         }
@@ -323,11 +323,11 @@
     }
 
     /** Builds a command from words and an optional body; the caller keeps its reference to the body. */
-    private ArrayRedisMessage buildCommand(ByteBuf body, String... words) {
-        List<RedisMessage> parts = new ArrayList<>(words.length + 1);
+    private ArrayRedisMessage buildCommand(ByteBuf body, String... arguments) {
+        List<RedisMessage> parts = new ArrayList<>(arguments.length + 1);
         try {
-            for (String word : words) {
-                parts.add(new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(channel.alloc(), word)));
+            for (String argument : arguments) {
+                parts.add(new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(channel.alloc(), argument)));
             }
         } catch (RuntimeException | Error e) {
             parts.forEach(ReferenceCountUtil::release);
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -214,8 +214,8 @@
      *
      * @return the query, for {@link #startDecisions}, or null if the request was refused and answered here
      */
-    OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Request call, long arrivedAt) {
-        QueryRequest queryRequest = QueryRequest.of(call, deploymentReader, limits);
+    OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Request request, long arrivedAt) {
+        QueryRequest queryRequest = QueryRequest.of(request, deploymentReader, limits);
         OpenQuery sameTraceQuery = queriesByTrace.get(queryRequest.traceId());
         String fault = queryRequest.fault() != null ? queryRequest.fault() : findTraceReuse(queryRequest);
         if (queryRequest.fault() != null) {
@@ -225,19 +225,19 @@
             log.line("request refused", fault);
             if (sameTraceQuery != null && sameTraceQuery.client == client
                     && sameTraceQuery.trace.equals(queryRequest.trace())) {
-                client.closeForReusedId(call.id(), fault);
+                client.closeForReusedId(request.id(), fault);
             } else {
-                client.sendError(call.id(), fault);
+                client.sendError(request.id(), fault);
             }
             return null;
         }
         if (queriesById.size() >= limits.queries || heldBytes > limits.heldBytes) {
             recentTraces.add(queryRequest.traceId());
             counters.add(RequestRefusal.NO_ROOM);
-            client.turnAway(call.id());
+            client.turnAway(request.id());
             return null;
         }
-        OpenQuery q = createQuery(client, call, queryRequest, arrivedAt);
+        OpenQuery q = createQuery(client, request, queryRequest, arrivedAt);
         queriesById.put(q.id, q);
         queriesByTrace.put(q.traceId, q);
         recentTraces.add(q.traceId);
@@ -250,8 +250,8 @@
     }
 
     /** Records the trace of a request that is turned away; its client must retry under a new one. */
-    void recordTurnedAway(RpcDecoder.Request call) {
-        QueryRequest queryRequest = QueryRequest.of(call, deploymentReader, limits);
+    void recordTurnedAway(RpcDecoder.Request request) {
+        QueryRequest queryRequest = QueryRequest.of(request, deploymentReader, limits);
         counters.add(RequestRefusal.NO_ROOM);
         if (queryRequest.fault() == null) {
             recentTraces.add(queryRequest.traceId());
@@ -275,19 +275,19 @@
         return null;
     }
 
-    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Request call, QueryRequest queryRequest,
-                             long arrivedAt) {
+    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Request request,
+                                  QueryRequest queryRequest, long arrivedAt) {
         Deployment.ResourceGroup resourceGroup =
                 deploymentReader.deployment().groups().get(queryRequest.group().index());
-        OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, queryRequest,
+        OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), request, client, queryRequest,
                 Math.min(leavingDeadline, arrivedAt + Times.nearestTicks(queryRequest.timeoutMs())),
                 new QueryLifecycle(resourceGroup,
                         deploymentReader.deployment().capabilities().maxSubmissions()));
         q.arrivedAt = arrivedAt;
         q.history.add(Step.TAKEN, null, arrivedAt);
-        q.wantsPages = keptAnswers != null && "1".equals(call.fields().get("pages"));
+        q.wantsPages = keptAnswers != null && "1".equals(request.fields().get("pages"));
         if (q.wantsPages) {
-            q.tenant = call.fields().getOrDefault("customer", "");
+            q.tenant = request.fields().getOrDefault("customer", "");
             q.repeatable = resourceGroup.effect() == Deployment.Effect.READ_ONLY
                     || resourceGroup.effect() == Deployment.Effect.TOKENED
                             && resourceGroup.recognised() == Deployment.Recognised.ALL;
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -17,11 +17,11 @@
 import reedspring.spool.HandleCodec;
 import reedspring.spool.Spool;
 import reedspring.spool.SpoolAction;
-import reedspring.spool.SpoolLimits;
 import reedspring.spool.SpoolEvent;
+import reedspring.spool.SpoolLimits;
 import reedspring.spool.store.FileDisk;
-import reedspring.spool.store.StoreWorker;
 import reedspring.spool.store.SegmentStore;
+import reedspring.spool.store.StoreWorker;
 
 /**
  * Connects the spool, which keeps answers on disk, to the front. Delivers what engines and clients send to
--- a/src/main/java/reedspring/net/OpenQuery.java
+++ b/src/main/java/reedspring/net/OpenQuery.java
@@ -41,15 +41,15 @@
     long loopDelay;
 
     /** Retains the request's body, until {@link Front} releases the query. */
-    OpenQuery(Id.Query id, RpcDecoder.Request call, ClientConnection client, QueryRequest queryRequest,
+    OpenQuery(Id.Query id, RpcDecoder.Request request, ClientConnection client, QueryRequest queryRequest,
               long deadline, QueryLifecycle lifecycle) {
         this.id = id;
-        this.messageId = call.id();
+        this.messageId = request.id();
         this.client = client;
         this.trace = queryRequest.trace();
         this.traceId = queryRequest.traceId();
-        this.group = call.method();
-        this.statement = call.body().retain();
+        this.group = request.method();
+        this.statement = request.body().retain();
         this.repeatToken = queryRequest.repeatToken();
         this.deadline = deadline;
         this.lifecycle = lifecycle;
--- a/src/main/java/reedspring/net/QueryRequest.java
+++ b/src/main/java/reedspring/net/QueryRequest.java
@@ -25,15 +25,15 @@
     private static final int HEX_RADIX = 16;
 
     /** Parses a request's fields and validates them against the deployment and the limits. */
-    static QueryRequest of(RpcDecoder.Request call, DeploymentReader deploymentReader, Limits limits) {
-        Map<String, String> fields = call.fields();
+    static QueryRequest of(RpcDecoder.Request request, DeploymentReader deploymentReader, Limits limits) {
+        Map<String, String> fields = request.fields();
         String trace = fields.get("trace");
         boolean validTrace = trace != null && TRACE_PATTERN.matcher(trace).matches();
-        QueryRequest queryRequest = new QueryRequest(deploymentReader.group(call.method()),
+        QueryRequest queryRequest = new QueryRequest(deploymentReader.group(request.method()),
                 deploymentReader.tenant(fields.get("customer")), parseNumber(fields, "patience"),
                 parseNumber(fields, "weight"), parseNumber(fields, "need_mb"), trace,
                 validTrace ? Long.parseUnsignedLong(trace, HEX_RADIX) : 0, fields.get("nonce"), null);
-        String fault = validTrace ? queryRequest.findFault(call, deploymentReader, limits)
+        String fault = validTrace ? queryRequest.findFault(request, deploymentReader, limits)
                 : queryRequest.group == null ? "no such method" : "trace: 16 hex digits are wanted";
         return fault == null ? queryRequest : queryRequest.withFault(fault);
     }
@@ -44,11 +44,11 @@
     }
 
     /** Returns why the request is invalid, or null; for a request with a valid trace. */
-    private String findFault(RpcDecoder.Request call, DeploymentReader deploymentReader, Limits limits) {
+    private String findFault(RpcDecoder.Request request, DeploymentReader deploymentReader, Limits limits) {
         if (group == null) {
             return "no such method";
         }
-        if (!(timeoutMs <= limits.maxPatienceMs) || !call.fields().containsKey("patience")) {
+        if (!(timeoutMs <= limits.maxPatienceMs) || !request.fields().containsKey("patience")) {
             return "patience: milliseconds are wanted";
         }
         if (!(estimateMs <= limits.maxEstimate)) {
@@ -63,7 +63,7 @@
         if (repeatToken != null && !REPEAT_TOKEN_PATTERN.matcher(repeatToken).matches()) {
             return "nonce: letters, digits and ._:/+- are wanted, 128 at most";
         }
-        return call.body() == null ? "the body is missing" : null;
+        return request.body() == null ? "the body is missing" : null;
     }
 
     /** Parses a non-negative decimal number; 0 if the field is absent, NaN if it is not a number. */
--- a/src/main/java/reedspring/net/StatementScanner.java
+++ b/src/main/java/reedspring/net/StatementScanner.java
@@ -154,10 +154,10 @@
     }
 
     private boolean isTableKeyword(int start, int end) {
-        for (String word : TABLE_KEYWORDS) {
-            boolean equal = word.length() == end - start;
-            for (int k = 0; equal && k < word.length(); k++) {
-                equal = (text.getByte(start + k) | 0x20) == word.charAt(k);
+        for (String keyword : TABLE_KEYWORDS) {
+            boolean equal = keyword.length() == end - start;
+            for (int k = 0; equal && k < keyword.length(); k++) {
+                equal = (text.getByte(start + k) | 0x20) == keyword.charAt(k);
             }
             if (equal) {
                 return true;
--- a/src/main/java/reedspring/settings/Ini.java
+++ b/src/main/java/reedspring/settings/Ini.java
@@ -129,10 +129,10 @@
     }
 
     /** One of the given words. */
-    public String word(String section, String key, String defaultValue, List<String> words) {
+    public String choice(String section, String key, String defaultValue, List<String> choices) {
         String text = text(section, key, defaultValue);
-        if (text != null && !words.contains(text)) {
-            fault(section, key, "'" + text + "' is not one of " + String.join(", ", words));
+        if (text != null && !choices.contains(text)) {
+            fault(section, key, "'" + text + "' is not one of " + String.join(", ", choices));
             return defaultValue;
         }
         return text;
--- a/src/main/java/reedspring/settings/InstallationSettings.java
+++ b/src/main/java/reedspring/settings/InstallationSettings.java
@@ -43,7 +43,7 @@
     /** Reads and validates a settings file. */
     public static InstallationSettings read(Path file) throws SettingsException {
         Ini ini = new Ini(file);
-        boolean json = ini.word("log", "format", "plain", List.of("plain", "json")).equals("json");
+        boolean json = ini.choice("log", "format", "plain", List.of("plain", "json")).equals("json");
         SpoolSettings spool = spool(ini);
         ini.finish();
         return new InstallationSettings(json, spool);
--- a/src/main/java/reedspring/spool/store/SegmentStore.java
+++ b/src/main/java/reedspring/spool/store/SegmentStore.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import reedspring.spool.AnswerId;
-import reedspring.spool.SpoolLimits;
 import reedspring.spool.SpoolEvent;
+import reedspring.spool.SpoolLimits;
 
 /**
  * Append-only storage of answers in segment files: writes, syncs, reads and recovers them. All policy is in
--- a/src/rig/java/reedspring/rig/fleet/Mutants.java
+++ b/src/rig/java/reedspring/rig/fleet/Mutants.java
@@ -123,8 +123,8 @@
                         coldDay("wall-clock-believed"), "cold engine pushed over"),
                 new Mutant("answers-late", "net/Front.java",
                         "arrivedAt + Times.nearestTicks(queryRequest.timeoutMs())),",
-                        "arrivedAt + Times.nearestTicks(queryRequest.timeoutMs()) + 20_000),", day("answers-late",
-                                trouble(What.SILENT, 2, 4, 1)), "past its time|told to take"),
+                        "arrivedAt + Times.nearestTicks(queryRequest.timeoutMs()) + 20_000),",
+                        day("answers-late", trouble(What.SILENT, 2, 4, 1)), "past its time|told to take"),
                 new Mutant("answers-twice", "net/Front.java",
                         "            q.client.sendRows(q, List.of(s.pages));\n",
                         "            q.client.sendRows(q, List.of(s.pages));\n"
--- a/src/rig/java/reedspring/rig/fleet/Timetable.java
+++ b/src/rig/java/reedspring/rig/fleet/Timetable.java
@@ -226,11 +226,11 @@
         ini.has(section);
         List<String> words = IntStream.range(0, What.values().length).mapToObj(k -> word(What.values()[k]))
                 .toList();
-        String what = ini.word(section, "what", null, words);
+        String what = ini.choice(section, "what", null, words);
         if (what == null) {
             ini.fault(section, "what", "missing");
         }
-        String link = ini.word(section, "link", "engine", List.of("client", "engine", "journal"));
+        String link = ini.choice(section, "link", "engine", List.of("client", "engine", "journal"));
         return new Entry(section, ini.duration(section, "at", 0, 0, 600 * SECOND),
                 ini.duration(section, "for", 0, 0, 600 * SECOND),
                 What.values()[Math.max(0, words.indexOf(what))], Link.valueOf(link.toUpperCase()),
--- a/src/test/java/reedspring/ControlTest.java
+++ b/src/test/java/reedspring/ControlTest.java
@@ -18,9 +18,9 @@
 import reedspring.api.Deployment.Effect;
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Event.Listing;
 import reedspring.api.Event.Outcome;
-import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 
 class ControlTest {
--- a/src/test/java/reedspring/spool/SpoolTest.java
+++ b/src/test/java/reedspring/spool/SpoolTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static reedspring.spool.SpoolHarness.SECOND;
 import static reedspring.spool.SpoolHarness.LIMITS;
+import static reedspring.spool.SpoolHarness.SECOND;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,8 +15,8 @@
 import net.jqwik.api.GenerationMode;
 import net.jqwik.api.Property;
 import reedspring.rig.MemoryDisk;
-import reedspring.spool.SpoolHarness.HeldAnswer;
 import reedspring.spool.SpoolAction.Reason;
+import reedspring.spool.SpoolHarness.HeldAnswer;
 
 class SpoolTest {
     private static final String[] TENANTS = {"acme", "bolt", "crow"};
