--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -326,7 +326,7 @@
             gone = listing.health() == Event.Health.GONE;
             removedRows.set(row, gone);
             Deployment.Machine machine = deployment.machines().get(kind);
-            // An engine of unknown size is taken to have the mean number of cores of the known kinds or, if
+            // An engine of unknown size is assumed to have the mean number of cores of the known kinds or, if
             // none is known, as many cores as the widest query has threads.
             cores[row] = machine != null && machine.cores() > 0 ? machine.cores()
                     : deployment.machines().values().stream().mapToDouble(Deployment.Machine::cores)
@@ -503,7 +503,7 @@
 
     /**
      * The logarithm of measured thread time divided by work. If the front was stalled itself, the time is
-     * known only as a range; the value of that range that is nearest to the current estimate is taken, so
+     * known only as a range; the value of that range that is nearest to the current estimate is used, so
      * that the front's own lag is not attributed to an engine.
      */
     private static double observedLogSlowdown(double current, double minTicks, double maxTicks, double work) {
@@ -764,7 +764,7 @@
         }
 
         private double concurrencyLimit(double effectiveCores) {
-            // Threads beyond the share are given up first: none are left at the minimum factor.
+            // Threads beyond the share are released first: none are left at the minimum factor.
             double minFactor = MIN_LIMIT_RATIO / deployment.fronts() / frontShare();
             return Math.max(maxQueryThreads, effectiveCores * THREADS_PER_CORE * frontShare() * limitFactor
                     + extraThreads * Math.max(0, limitFactor - minFactor) / Math.max(1e-3, 1 - minFactor));
--- a/src/main/java/reedspring/api/Event.java
+++ b/src/main/java/reedspring/api/Event.java
@@ -4,7 +4,7 @@
 
 /** An input of the scheduler. Times and spans are in ticks: whole tenths of a millisecond. */
 public sealed interface Event {
-    /** Whether a list holds only changes, is complete, or was known before discovery was asked. */
+    /** Whether a list holds only changes, is complete, or was known before discovery was contacted. */
     enum ListKind { CHANGES, COMPLETE, CACHED }
 
     enum Health { UP, DRAINING, GONE }
--- a/src/main/java/reedspring/core/policy/EngineStartTime.java
+++ b/src/main/java/reedspring/core/policy/EngineStartTime.java
@@ -5,8 +5,8 @@
  * machine may have been stepped since this process started, by seconds or by an hour. So the time is
  * converted in two ways: relative to the wall clock when this process started, and relative to the current
  * wall clock; for each kind of step one of the two is right. The later one is used unless it is in the
- * future, because an engine that is wrongly taken for cold only gets a little less work, while one that is
- * wrongly taken for warm is overloaded.
+ * future, because an engine that is wrongly assumed to be cold only gets a little less work, while one that
+ * is wrongly assumed to be warm is overloaded.
  *
  * <p>Times are in ticks (whole tenths of a millisecond) of the process's monotonic clock.
  */
--- a/src/main/java/reedspring/core/policy/QueryLifecycle.java
+++ b/src/main/java/reedspring/core/policy/QueryLifecycle.java
@@ -44,7 +44,7 @@
             return this == ALLOWED;
         }
 
-        /** Whether it shows a fault of the caller, which should not have asked. */
+        /** Whether it shows an error of the caller, which should have prevented this. */
         public boolean breach() {
             return breach;
         }
@@ -145,7 +145,7 @@
         return Verdict.ALLOWED;
     }
 
-    /** The final answer if the query is given up now. */
+    /** The final answer if the query is abandoned now. */
     public Answer answerIfGivenUp() {
         return RepeatPolicy.mayDefer(group, mayHaveRunSoFar()) ? Answer.DEFERRED : Answer.FAILED;
     }
--- a/src/main/java/reedspring/net/AcceptGuard.java
+++ b/src/main/java/reedspring/net/AcceptGuard.java
@@ -17,7 +17,7 @@
 final class AcceptGuard extends ChannelInboundHandlerAdapter {
     /** Maximum number of connections that Netty accepts in one read loop. */
     private static final int ACCEPTS_PER_PASS = 16;
-    /** An interrupted accept looks like an empty accept queue; two in a row are taken as empty. */
+    /** An interrupted accept looks like an empty accept queue; two in a row count as empty. */
     private static final int EMPTY_PASSES = 2;
     private static final int MAX_PASSES = 256;
 
--- a/src/main/java/reedspring/net/ArrivalBound.java
+++ b/src/main/java/reedspring/net/ArrivalBound.java
@@ -6,7 +6,7 @@
  * process, too. Times are in ticks; one tick is a tenth of a millisecond.
  *
  * <p>The bound comes from the selector: a socket that a poll does not report was empty at some time after the
- * start of that poll, and so was a socket whose read returned less than requested. A time taken after a poll
+ * start of that poll, and so was a socket whose read returned less than requested. A time read after a poll
  * proves nothing, as the process may have been stopped between the two.
  */
 final class ArrivalBound {
--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -45,7 +45,7 @@
     private int stalledMessageTicks;
     private long lastMessageCount;
     private long lastByteCount;
-    /** When the client last took bytes of what waits for it. */
+    /** When the client last read bytes of its pending answers. */
     private long lastProgressAt;
 
     /** Creates a connection that is accepted now. */
@@ -187,7 +187,7 @@
         writeAnswer(RpcWriter.heartbeat(context.alloc(), id, true));
     }
 
-    /** Sends an error and closes the connection, as requests that share an id can't be told apart. */
+    /** Sends an error and closes the connection, as requests that share an id can't be distinguished. */
     void closeForReusedId(long id, String reason) {
         front.log().line("client connection closed, message id reused", reason);
         sendError(id, reason);
--- a/src/main/java/reedspring/net/CloseReason.java
+++ b/src/main/java/reedspring/net/CloseReason.java
@@ -8,7 +8,7 @@
     LOST,
     /** The input is not valid MessagePack-RPC, or exceeds a limit. */
     BROKEN_FRAMING,
-    /** The id or the trace of an open request was used again, so the requests can't be told apart. */
+    /** The id or the trace of an open request was used again, so the requests can't be distinguished. */
     NUMBER_USED_TWICE,
     /** No valid request arrived in time. */
     NOTHING_OF_USE,
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -120,7 +120,7 @@
     /** Whether the submission may be sent on this connection. */
     boolean accepts(Submission s) {
         // Answers carry only the query's id: late answers to an earlier submission of the same query could
-        // not be told from those to this one, and pages of two runs must not be mixed in one result.
+        // not be distinguished from those to this one, and pages of two runs must not be mixed in one result.
         return !retired && openSubmissions.size() < limits.connectionQueries
                 && !openSubmissions.containsKey(s.query.trace)
                 && !lateTraces.contains(s.query.trace)
@@ -158,7 +158,7 @@
     }
 
     /**
-     * Reads the socket and tells whether the connection is still open. Engines close idle connections, some
+     * Reads the socket and returns whether the connection is still open. Engines close idle connections, some
      * of them early; a submission written after that has an unknown outcome, and a mutating query can't be
      * sent again. A connection that has not carried anything yet is not checked: an engine that closes every
      * new connection counts as unreachable.
@@ -386,8 +386,8 @@
     private void closeByAnswer(Submission s, Outcome outcome) {
         if (s != null) {
             if (s.pages == null) {
-                // The engine may send its final answer twice. The duplicate would be taken for the end of the
-                // query's next submission, and a query that runs would count as never run.
+                // The engine may send its final answer twice. The duplicate would be mistaken for the end of
+                // the query's next submission, and a query that runs would count as never run.
                 openSubmissions.remove(s.query.trace, s);
                 addBounded(lateTraces, s.query.trace);
             }
--- a/src/main/java/reedspring/net/Limits.java
+++ b/src/main/java/reedspring/net/Limits.java
@@ -69,7 +69,7 @@
     final int sentAfterDisconnectMs = 100;
     /** Late or unanswered queries that are logged one by one in a log interval; the rest are counted. */
     final int maxLoggedMisses = 8;
-    /** The delay before a retry that refused clients are told, from the deployment; 0 for none. */
+    /** The retry delay that refused clients are sent, from the deployment; 0 for none. */
     final int retryAfterMs;
 
     // Engines.
@@ -89,7 +89,7 @@
     /** Ticks for which an incomplete answer may make no progress before its connection is closed. */
     final int incompleteAnswerTicks = 2;
 
-    // The journal service. It sends something every second. It is assumed to have delivered its news 2 s
+    // The journal service. It sends something every second. It is assumed to have delivered its events 2 s
     // after a broken connection, and 4 s after a stop.
     final int journalSilenceMs = 1_800;
     final int journalConnectMs = 1_000;
--- a/src/main/java/reedspring/net/RpcDecoder.java
+++ b/src/main/java/reedspring/net/RpcDecoder.java
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Skips {@code count} values; returns false if they are incomplete. A message that arrives in pieces is
-     * measured again with each piece, which the limit on values keeps cheap.
+     * Skips {@code count} values; returns false if they are incomplete. A message that arrives in parts is
+     * measured again with each part, which the limit on values keeps cheap.
      */
     private boolean skipValues(ByteBuf in, long count) {
         for (long valuesLeft = count; valuesLeft > 0; valuesLeft--) {
--- a/src/main/java/reedspring/net/RpcWriter.java
+++ b/src/main/java/reedspring/net/RpcWriter.java
@@ -13,7 +13,7 @@
 
     /**
      * Encodes a result as one message. If an allocation fails, nothing is written, so that the next message
-     * can't be taken for the rest of this one.
+     * can't be mistaken for the rest of this one.
      *
      * @param pages the rows, which are retained and stay the caller's
      * @param fields up to 15 fields, name and value in turn
--- a/src/main/java/reedspring/net/StartAttempts.java
+++ b/src/main/java/reedspring/net/StartAttempts.java
@@ -19,7 +19,7 @@
         this.delayMs = delayMs;
     }
 
-    /** Tells whether a failure may be transient, so that a retry makes sense. */
+    /** Decides whether a failure may be transient, so that a retry makes sense. */
     interface TransientCheck {
         boolean test(Throwable failure);
     }
--- a/src/main/java/reedspring/net/Submission.java
+++ b/src/main/java/reedspring/net/Submission.java
@@ -25,8 +25,8 @@
     int missingPages;
     int pageCount;
     /**
-     * For an answer that is kept on disk: its name here, then the pages received, and the handle and the time
-     * for which it is kept that the client is told.
+     * For an answer that is kept on disk: its id, then the pages received, and the handle and the time for
+     * which it is kept, which the client is sent.
      */
     AnswerId keptAnswerId;
     BitSet receivedPages;
@@ -36,7 +36,7 @@
     long endedAt;
     /** How long the end may have lain unread while the process was paused. */
     long unseenTicks;
-    /** The engine's work on the query, as the engine tells it. */
+    /** The engine's work on the query, as the engine reports it. */
     long workTicks;
 
     Submission(OpenQuery query, long sentAt, long timeoutAt, long departBy) {
--- a/src/main/java/reedspring/net/SubmissionRunner.java
+++ b/src/main/java/reedspring/net/SubmissionRunner.java
@@ -6,7 +6,7 @@
 
 /** Runs the front's submissions. Called on the event loop only. */
 interface SubmissionRunner {
-    /** Tells the engines as they are listed now, before the decision logic is told. */
+    /** Passes on the current list of engines, before the decision logic gets it. */
     void enginesListed(Event.ListKind reading, List<Host> hosts);
 
     /** Runs the submission on the engine; its outcome is reported to {@link Front#closed}. */
--- a/src/main/java/reedspring/net/Timers.java
+++ b/src/main/java/reedspring/net/Timers.java
@@ -116,7 +116,7 @@
         }
         if (latenessTicks > limits.stallMs * 10L) {
             // A timeout of a peer can be judged only once all data that has arrived is read: a pause of
-            // this process must not be taken for silence of the peers. So timers run after the sockets.
+            // this process must not be mistaken for silence of the peers. So timers run after the sockets.
             readSocketsFirst = true;
             loopTaskAt = Long.MIN_VALUE;
             loopTask = loop.schedule(() -> { }, 1, TimeUnit.NANOSECONDS);
--- a/src/main/java/reedspring/settings/Ini.java
+++ b/src/main/java/reedspring/settings/Ini.java
@@ -128,7 +128,7 @@
         return defaultValue;
     }
 
-    /** One of the given words. */
+    /** One of the given choices. */
     public String choice(String section, String key, String defaultValue, List<String> choices) {
         String text = text(section, key, defaultValue);
         if (text != null && !choices.contains(text)) {
--- a/src/main/java/reedspring/spool/HandleCodec.java
+++ b/src/main/java/reedspring/spool/HandleCodec.java
@@ -14,7 +14,7 @@
  * Encodes and decodes handles. A handle holds the answer's id, whether its query is repeatable, its expiry
  * time and a message authentication code: the first 128 bits of an HMAC-SHA256 over these fields, the name of
  * the front and the tenant. A handle that was not issued by this front to this tenant decodes to null, so
- * that another party can't tell an existing answer from a missing one.
+ * that another party can't distinguish an existing answer from a missing one.
  *
  * <p>The first key signs; every key verifies, so that keys can be rotated while handles are in use.
  */
