--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -296,7 +296,7 @@
         private long ejectionTicks = MIN_EJECTION_TICKS;
         private long maxEjectionTicks = MAX_EJECTION_TICKS;
         private long ejectedUntil;
-        private long lastHeardAt;
+        private long lastReceivedAt;
         // When a query last finished here in about its expected runtime.
         private long lastTimelyFinishAt = Long.MIN_VALUE;
         private final List<AbandonedRun> abandonedRuns = new ArrayList<>();
@@ -314,7 +314,7 @@
         }
 
         private void onProgress(Query q, Event.ShareDone progress) {
-            lastHeardAt = now;
+            lastReceivedAt = now;
             post(scheduler, actor -> actor.onProgress(q, progress));
         }
 
@@ -347,7 +347,7 @@
 
         private void send(Query q) {
             if (ownQueries[row] == 0) {
-                lastHeardAt = now;
+                lastReceivedAt = now;
             }
             ownThreads[row] += q.threads;
             ownMemoryMb[row] += q.needMb;
@@ -357,11 +357,11 @@
                     && q.work / q.threads < deployment.groups().get(q.group).targetBase() / 2.0) {
                 actionSink.accept(new Action.SetPriority(q.id, 2));
             }
-            actionSink.accept(new Action.Submit(q.id, id, 0, scheduler.latestDeparture(q)));
+            actionSink.accept(new Action.Submit(q.id, id, 0, scheduler.latestSendAt(q)));
         }
 
         private void onClosed(Query q, Event.Closed closed) {
-            lastHeardAt = now;
+            lastReceivedAt = now;
             Outcome outcome = closed.outcome();
             ownQueries[row]--;
             spread.submissionEnded(row, closed.elapsed());
@@ -395,7 +395,7 @@
                 ejected[row] = false;
                 ejectionTicks = MIN_EJECTION_TICKS;
                 maxEjectionTicks = MAX_EJECTION_TICKS;
-                actionSink.accept(new Action.Remark("engine " + id.address() + " is back"));
+                actionSink.accept(new Action.LogMessage("engine " + id.address() + " is back"));
             } else if (ejected[row]) {
                 ejectionTicks = isError || outcome == Outcome.TIMED_OUT
                         ? Math.min(maxEjectionTicks, ejectionTicks * 2)
@@ -435,7 +435,7 @@
                 ownMemoryMb[row] -= done ? run.needMb() : 0;
                 return done;
             });
-            if (!ejected[row] && now - lastHeardAt >= Math.max(MIN_SILENCE_TICKS,
+            if (!ejected[row] && now - lastReceivedAt >= Math.max(MIN_SILENCE_TICKS,
                     deployment.progressInterval() * 5 / 4)
                     && scheduler.queries.values().stream()
                             .filter(q -> q.runningOn == row && scheduler.isStalled(q)).count() > 1) {
@@ -465,7 +465,8 @@
             if (sumOverAvailable(k -> 1) - 1 >= upCount * (1 - MAX_EJECTED_RATIO)) {
                 ejected[row] = true;
                 ejectedUntil = now + spread.probeDelay(row, ejectionTicks, scheduler.lightestWork());
-                actionSink.accept(new Action.Remark("engine " + id.address() + " " + reason + ", barred"));
+                actionSink.accept(new Action.LogMessage(
+                        "engine " + id.address() + " " + reason + ", barred"));
             }
         }
     }
@@ -622,7 +623,7 @@
         private long finishedCount;
         private long limitReachedAt;
         private long discoveryRetryAt = -1;
-        private long lastRemarksAt;
+        private long lastMessagesAt;
         private double recentArrivals;
         private long lastArrivalAt;
         private final double totalTenantRate;
@@ -716,7 +717,7 @@
             if (now >= q.clientDeadline - ANSWER_MARGIN_TICKS) {
                 // A client's retry may arrive with so little time left that the next periodic check would
                 // be too late.
-                giveUp(q);
+                deferOrKill(q);
             } else if (keyQueue != null) {
                 enqueueHead(keyQueue);
             } else {
@@ -1045,7 +1046,7 @@
                 q.failedOn = q.lastSentTo;
                 enqueue(q);
             } else {
-                giveUp(q);
+                deferOrKill(q);
             }
             post(this, Scheduler::dispatch);
         }
@@ -1102,7 +1103,7 @@
         /** Whether another submission is permitted by the rules on effects and by the resubmission budget. */
         private boolean mayResubmit(Query q, boolean asProbe) {
             Deployment.ResourceGroup group = deployment.groups().get(q.group);
-            if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestDeparture(q)) {
+            if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestSendAt(q)) {
                 return false;
             }
             Deployment.ResubmissionBudget budget = deployment.resubmissionBudget();
@@ -1124,7 +1125,7 @@
          * The latest time at which the query may be sent again. The limit holds for its arrival at the
          * engine, which a slow connection or a stall of the event loop may delay.
          */
-        private long latestDeparture(Query q) {
+        private long latestSendAt(Query q) {
             long recognisedUntil = RepeatPolicy.recognisedUntil(deployment.groups().get(q.group),
                     q.firstRanOn >= 0, q.firstRanSince);
             return recognisedUntil == Long.MAX_VALUE ? recognisedUntil : recognisedUntil - MAX_TRANSIT_TICKS;
@@ -1183,7 +1184,7 @@
         }
 
         /** Sends the final answer for a query that will not be served. */
-        private void giveUp(Query q) {
+        private void deferOrKill(Query q) {
             // If an engine failed the query, rather than capacity being short, the client may retry at once.
             long maxRetryAfter = deployment.capabilities().retryTimes()
                     ? deployment.capabilities().maxRetryAfter() : 0;
@@ -1239,10 +1240,10 @@
             keyQueues.values().removeIf(keyQueue -> keyQueue.queries.isEmpty()
                     && now >= keyQueue.blockedUntil);
             keyQueues.values().forEach(this::enqueueHead);
-            if (now - lastRemarksAt >= TICKS_PER_SECOND) {
-                lastRemarksAt = now;
-                spread.trafficRemarks(Control.this::effectiveCores, now)
-                        .forEach(remark -> actionSink.accept(new Action.Remark(remark)));
+            if (now - lastMessagesAt >= TICKS_PER_SECOND) {
+                lastMessagesAt = now;
+                spread.trafficMessages(Control.this::effectiveCores, now)
+                        .forEach(message -> actionSink.accept(new Action.LogMessage(message)));
             }
             medianLogSlowdown = median(engineLogSlowdown);
             medianErrorRate = median(errorRate);
@@ -1278,7 +1279,7 @@
                         post(engines.get(q.runningOn),
                                 engine -> engine.ejectIfThrashing(q, enginesWithOverdue));
                         if (ejected[q.runningOn] && !q.answered && mayDefer(q, true)) {
-                            giveUp(q); // can't be cancelled, but its client still has time for a retry
+                            deferOrKill(q); // can't be cancelled, but its client still has time for a retry
                         }
                     }
                     if (now >= q.overdueAt && !q.answered && !ejected[q.runningOn]) {
@@ -1300,7 +1301,7 @@
                                 && (deployment.groups().get(q.group).lateValue() <= 0
                                         || now + expectedRuntime(q)
                                                 > q.clientDeadline - ANSWER_MARGIN_TICKS)) {
-                    giveUp(q);
+                    deferOrKill(q);
                 } else if (!q.missesTarget
                         && (!q.waitsForMemory || now - limitReachedAt < TICKS_PER_SECOND)) {
                     // Below the concurrency limit, giving up a query that waits for memory helps no other.
@@ -1313,7 +1314,7 @@
             queued.sort(Comparator.comparingDouble(q -> value(q) / q.work));
             for (int k = 0; k < queued.size() && queuedWork / throughput > shortestTarget * 0.4; k++) {
                 queuedWork -= queued.get(k).work;
-                giveUp(queued.get(k));
+                deferOrKill(queued.get(k));
             }
         }
     }
--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -273,14 +273,14 @@
                 appendMs(" retryInMs=", defer.retryAfter());
             } else if (action instanceof Action.Kill kill) {
                 beginCommand("REPORT_FAILURE", instance, kill.query());
-            } else if (action instanceof Action.StartTimer wake) {
-                reply.append("WAKE_ME i=").append(instance).append(" handle=").append(wake.timer().value());
-                appendMs(" spanMs=", wake.delay());
+            } else if (action instanceof Action.StartTimer start) {
+                reply.append("WAKE_ME i=").append(instance).append(" handle=").append(start.timer().value());
+                appendMs(" spanMs=", start.delay());
             } else if (action instanceof Action.SubscribeToEngines) {
                 reply.append("FOLLOW i=").append(instance).append(" active=1");
-            } else if (action instanceof Action.Remark remark) {
+            } else if (action instanceof Action.LogMessage message) {
                 reply.append("REMARK i=").append(instance).append(" msg=")
-                        .append(remark.text().replace('\n', ' '));
+                        .append(message.text().replace('\n', ' '));
             }
             reply.append('\n');
         }
--- a/src/main/java/reedspring/api/Action.java
+++ b/src/main/java/reedspring/api/Action.java
@@ -36,6 +36,6 @@
     }
 
     /** Logs a message for operators. */
-    record Remark(String text) implements Action {
+    record LogMessage(String text) implements Action {
     }
 }
--- a/src/main/java/reedspring/api/Id.java
+++ b/src/main/java/reedspring/api/Id.java
@@ -18,9 +18,9 @@
     record Group(int index) implements Id {
     }
 
-    /** A tenant, as an index into {@link Deployment#tenants()}, or {@link #NOBODY}. */
+    /** A tenant, as an index into {@link Deployment#tenants()}, or {@link #UNKNOWN}. */
     record Tenant(int index) implements Id {
-        public static final Tenant NOBODY = new Tenant(-1);
+        public static final Tenant UNKNOWN = new Tenant(-1);
     }
 
     /** A key whose queries run one at a time, in groups that require order. */
--- a/src/main/java/reedspring/boot/DeploymentReader.java
+++ b/src/main/java/reedspring/boot/DeploymentReader.java
@@ -37,10 +37,10 @@
         return index < 0 ? null : new Id.Group(index);
     }
 
-    /** The tenant of the given name, or {@link Id.Tenant#NOBODY}. */
+    /** The tenant of the given name, or {@link Id.Tenant#UNKNOWN}. */
     public Id.Tenant tenant(String name) {
         int index = name == null ? -1 : tenantNames.indexOf(name);
-        return index < 0 ? Id.Tenant.NOBODY : new Id.Tenant(index);
+        return index < 0 ? Id.Tenant.UNKNOWN : new Id.Tenant(index);
     }
 
     private Deployment read() throws InvalidConfigurationException {
--- a/src/main/java/reedspring/cli/SpoolCommands.java
+++ b/src/main/java/reedspring/cli/SpoolCommands.java
@@ -69,7 +69,7 @@
         @Override
         public Integer call() throws IOException {
             Survey survey = survey(true);
-            survey.remarks().forEach(System.out::println);
+            survey.notices().forEach(System.out::println);
             survey.faults().forEach(System.out::println);
             System.out.printf("%d segments, %d answers, %d pages read, %d faults%n", survey.segments().size(),
                     survey.answers().size(), survey.pagesRead(), survey.faults().size());
@@ -96,7 +96,7 @@
                     files, live, Math.max(0, files - live));
             tenants.forEach((tenant, sums) -> System.out.printf("%s answers %d, bytes %d, expired %d%n",
                     tenant, sums[0], sums[1], sums[2]));
-            survey.remarks().forEach(System.out::println);
+            survey.notices().forEach(System.out::println);
             return 0;
         }
     }
--- a/src/main/java/reedspring/core/policy/EngineStartTime.java
+++ b/src/main/java/reedspring/core/policy/EngineStartTime.java
@@ -37,9 +37,9 @@
      * Corrects the estimate for an engine that has just appeared in a live stream of changes. A start long
      * before the previous message of the stream contradicts that: the clock of the engine's machine is wrong.
      *
-     * @param lastHeard when the previous message of the stream arrived
+     * @param lastReceived when the previous message of the stream arrived
      */
-    public static long ofNewEngine(long estimate, long lastHeard) {
-        return estimate < lastHeard - MAX_NOTICE_DELAY_TICKS ? lastHeard : estimate;
+    public static long ofNewEngine(long estimate, long lastReceived) {
+        return estimate < lastReceived - MAX_NOTICE_DELAY_TICKS ? lastReceived : estimate;
     }
 }
--- a/src/main/java/reedspring/net/AnswerDecoder.java
+++ b/src/main/java/reedspring/net/AnswerDecoder.java
@@ -48,7 +48,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        boolean handedOn = false;
+        boolean passedOn = false;
         if (!ctx.channel().isOpen()) {
             // Read in the same batch as a malformed answer, after it.
             ReferenceCountUtil.release(message);
@@ -78,7 +78,7 @@
             } else if (message instanceof BulkStringRedisContent content) {
                 boolean last = content instanceof LastBulkStringRedisContent;
                 if (last && !partBuffer.isReadable()) {
-                    handedOn = true;
+                    passedOn = true;
                     addPart(ctx, content.content());
                 } else {
                     if (partBuffer == Unpooled.EMPTY_BUFFER) {
@@ -95,7 +95,7 @@
                 throw new CorruptedFrameException("an answer may contain only bulk strings");
             }
         } finally {
-            if (!handedOn) {
+            if (!passedOn) {
                 ReferenceCountUtil.release(message);
             }
         }
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -487,8 +487,8 @@
             }
         } else if (action instanceof Action.StartTimer wake) {
             timers.scheduleIn(wake.delay(), () -> enqueueEvent(new Event.Woken(wake.timer())));
-        } else if (action instanceof Action.Remark remark) {
-            log.warnText("decision", remark.text());
+        } else if (action instanceof Action.LogMessage message) {
+            log.warnText("decision", message.text());
         }
         // SubscribeToEngines needs no action: the journal is followed from the start.
     }
--- a/src/main/java/reedspring/net/QueryRequest.java
+++ b/src/main/java/reedspring/net/QueryRequest.java
@@ -57,7 +57,7 @@
         if (!(needMb <= limits.maxEstimate)) {
             return "need_mb: megabytes are wanted";
         }
-        if (tenant == Id.Tenant.NOBODY && !deploymentReader.deployment().tenants().isEmpty()) {
+        if (tenant == Id.Tenant.UNKNOWN && !deploymentReader.deployment().tenants().isEmpty()) {
             return "no such customer";
         }
         if (repeatToken != null && !REPEAT_TOKEN_PATTERN.matcher(repeatToken).matches()) {
--- a/src/main/java/reedspring/net/Submission.java
+++ b/src/main/java/reedspring/net/Submission.java
@@ -39,12 +39,12 @@
     /** The engine's work on the query, as the engine reports it. */
     long workTicks;
 
-    Submission(OpenQuery query, long sentAt, long timeoutAt, long departBy) {
+    Submission(OpenQuery query, long sentAt, long timeoutAt, long latestSendAt) {
         this.query = query;
         this.number = new Id.Submission(query.submissionCount++);
         this.sentAt = sentAt;
         this.timeoutAt = timeoutAt;
-        this.latestSendAt = departBy;
+        this.latestSendAt = latestSendAt;
     }
 
     /** Releases the buffered pages. */
--- a/src/main/java/reedspring/net/ThreadTimes.java
+++ b/src/main/java/reedspring/net/ThreadTimes.java
@@ -58,14 +58,14 @@
     }
 
     /** Reads all {@link #FIGURE_COUNT} values, in nanoseconds since each thread began; 0 if unavailable. */
-    void read(long[] figures) {
+    void read(long[] values) {
         for (int k = 0; k < files.length; k++) {
-            figures[2 * k] = 0;
-            figures[2 * k + 1] = 0;
+            values[2 * k] = 0;
+            values[2 * k + 1] = 0;
             if (files[k] != null) {
                 try {
                     files[k].seek(0);
-                    parse(text, files[k].read(text), figures, 2 * k);
+                    parse(text, files[k].read(text), values, 2 * k);
                 } catch (IOException e) {
                     // the thread has ended
                     close(k);
@@ -84,11 +84,11 @@
     }
 
     /** Parses the first two numbers of a line such as {@code 166460 3248939 2}. */
-    static void parse(byte[] line, int length, long[] figures, int offset) {
+    static void parse(byte[] line, int length, long[] values, int offset) {
         int count = 0;
         for (int k = 0; k < length && count < 2; k++) {
             if (line[k] >= '0' && line[k] <= '9') {
-                figures[offset + count] = figures[offset + count] * 10 + line[k] - '0';
+                values[offset + count] = values[offset + count] * 10 + line[k] - '0';
             } else {
                 count++;
             }
--- a/src/main/java/reedspring/spool/store/SegmentStore.java
+++ b/src/main/java/reedspring/spool/store/SegmentStore.java
@@ -190,11 +190,11 @@
      * Writes the index of a recovered segment. A failure only means that the next start scans the segment
      * again.
      */
-    private void indexRecovered(Format.Index index, Consumer<String> remarks) {
+    private void indexRecovered(Format.Index index, Consumer<String> notices) {
         try {
             writeIndex(index);
         } catch (IOException e) {
-            remarks.accept("segment " + index.segment() + ": index not written: " + e.getMessage());
+            notices.accept("segment " + index.segment() + ": index not written: " + e.getMessage());
         }
     }
 
@@ -308,33 +308,33 @@
      * Restores the stored answers from the indexes and, for segments that were not sealed, from a scan of
      * their records; these are sealed now. Files that aren't segments of this front are left unchanged.
      *
-     * @param remarks receives a message for each file that can't be used
+     * @param notices receives a message for each file that can't be used
      */
-    public SpoolEvent.Recovered recover(Consumer<String> remarks) throws IOException {
+    public SpoolEvent.Recovered recover(Consumer<String> notices) throws IOException {
         for (String name : disk.list()) {
             if (Format.isTemporary(name) || Format.indexNumber(name) >= 0
                     && !disk.list().contains(Format.segmentFileName(Format.indexNumber(name)))) {
-                discard(name, remarks);
+                discard(name, notices);
             }
         }
-        return load(remarks, true);
+        return load(notices, true);
     }
 
-    private void discard(String name, Consumer<String> remarks) {
+    private void discard(String name, Consumer<String> notices) {
         try {
             disk.delete(name);
         } catch (IOException e) {
-            remarks.accept(name + " could not be deleted: " + e.getMessage());
+            notices.accept(name + " could not be deleted: " + e.getMessage());
         }
     }
 
     /** Like {@link #recover}, but changes no files. */
-    SpoolEvent.Recovered inspect(Consumer<String> remarks) throws IOException {
-        return load(remarks, false);
+    SpoolEvent.Recovered inspect(Consumer<String> notices) throws IOException {
+        return load(notices, false);
     }
 
     /** Names of the fronts that own segments on the disk. */
-    static Set<String> frontNames(Disk disk, Consumer<String> remarks) throws IOException {
+    static Set<String> frontNames(Disk disk, Consumer<String> notices) throws IOException {
         Set<String> fronts = new TreeSet<>();
         for (String name : disk.list()) {
             long number = Format.segmentNumber(name);
@@ -346,12 +346,12 @@
                 file.read(header, 0);
                 String front = Format.readHeader(header.flip(), number);
                 if (front == null) {
-                    remarks.accept("segment " + number + " has no valid header, it holds no answers");
+                    notices.accept("segment " + number + " has no valid header, it holds no answers");
                 } else {
                     fronts.add(front);
                 }
             } catch (IOException e) {
-                remarks.accept("segment " + number + ": " + e.getMessage());
+                notices.accept("segment " + number + ": " + e.getMessage());
             }
         }
         return fronts;
@@ -363,7 +363,7 @@
         return location != null && location.segment() == segment;
     }
 
-    private SpoolEvent.Recovered load(Consumer<String> remarks, boolean seal) throws IOException {
+    private SpoolEvent.Recovered load(Consumer<String> notices, boolean seal) throws IOException {
         List<SpoolEvent.RecoveredSegment> segments = new ArrayList<>();
         Map<AnswerId, Long> dropSequences = new HashMap<>();
         List<Location> committed = new ArrayList<>();
@@ -379,7 +379,7 @@
             if (index == null) {
                 Scan scan = new Scan(number);
                 if (!scan.run()) {
-                    remarks.accept(scan.failure);
+                    notices.accept(scan.failure);
                     if (scan.ownedByFront) {
                         segments.add(new SpoolEvent.RecoveredSegment(number, scan.fileBytes));
                     }
@@ -387,10 +387,10 @@
                 }
                 index = new Format.Index(number, scan.fileBytes, scan.committed, scan.drops);
                 if (scan.skippedBytes > 0) {
-                    remarks.accept("segment " + number + ": " + scan.skippedBytes + " bytes can't be read");
+                    notices.accept("segment " + number + ": " + scan.skippedBytes + " bytes can't be read");
                 }
                 if (seal) {
-                    indexRecovered(index, remarks);
+                    indexRecovered(index, notices);
                 }
             }
             segments.add(new SpoolEvent.RecoveredSegment(number,
--- a/src/main/java/reedspring/spool/store/Survey.java
+++ b/src/main/java/reedspring/spool/store/Survey.java
@@ -15,10 +15,10 @@
  * changes no files; segments that a running front deletes meanwhile are left out.
  *
  * @param segments sizes of the segments by number
- * @param remarks messages about files that could not be used completely
+ * @param notices messages about files that could not be used completely
  * @param faults pages that could not be read
  */
-public record Survey(Map<Long, Long> segments, List<Answer> answers, List<String> remarks,
+public record Survey(Map<Long, Long> segments, List<Answer> answers, List<String> notices,
         List<String> faults,
                      long pagesRead) {
     /** A stored answer; {@code expiresAt} is Unix time in ticks (tenths of a millisecond). */
@@ -27,15 +27,15 @@
 
     /** @param pages whether to read and check every page */
     public static Survey of(Disk disk, boolean pages) throws IOException {
-        List<String> remarks = new ArrayList<>();
+        List<String> notices = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         Map<Long, Long> segments = new TreeMap<>();
         List<Answer> answers = new ArrayList<>();
         long pagesRead = 0;
-        Set<String> fronts = new HashSet<>(SegmentStore.frontNames(disk, remarks::add));
+        Set<String> fronts = new HashSet<>(SegmentStore.frontNames(disk, notices::add));
         for (String front : fronts) {
             SegmentStore store = new SegmentStore(disk, front, Format.MAX_PAGE_BYTES);
-            SpoolEvent.Recovered contents = store.inspect(remarks::add);
+            SpoolEvent.Recovered contents = store.inspect(notices::add);
             contents.segments().forEach(segment -> segments.put(segment.number(), segment.bytes()));
             for (SpoolEvent.RecoveredAnswer answer : contents.answers()) {
                 if (!store.isCurrent(answer.answer(), answer.segment())) {
@@ -58,7 +58,7 @@
             }
             store.closeFiles();
         }
-        return new Survey(segments, answers, remarks, faults, pagesRead);
+        return new Survey(segments, answers, notices, faults, pagesRead);
     }
 
     /** Deletes the segments in which every answer has expired by this time and returns their numbers. */
--- a/src/main/java/reedspring/spread/Spread.java
+++ b/src/main/java/reedspring/spread/Spread.java
@@ -46,7 +46,7 @@
     private static final double JITTER_RATIO = 0.5;
     /** The fractional part of the golden ratio: its multiples modulo 1 are spaced evenly. */
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
-    /** An engine's traffic is remarked on when its weight falls below the first, rises above the second. */
+    /** An engine's traffic is logged when its weight falls below the first, rises above the second. */
     private static final double REDUCED_BELOW_RATIO = 0.5;
     private static final double RESTORED_ABOVE_RATIO = 0.8;
 
@@ -68,7 +68,7 @@
     // Token bucket for submissions to a cold engine, in queries of the lightest group.
     private double[] coldCredit = new double[8];
     private long[] coldCreditAt = new long[8];
-    private double[] remarkedRatio = new double[8];
+    private double[] loggedRatio = new double[8];
     private boolean orderStale;
     private int upCount;
     private double smallestCores = 1;
@@ -97,7 +97,7 @@
         if (!engine.equals(engineIds[row])) {
             engineIds[row] = engine;
             ownSubmissions[row] = 0;
-            remarkedRatio[row] = 1;
+            loggedRatio[row] = 1;
             // Rendezvous hashing: an engine that joins or leaves moves no other. It is not weighted by size,
             // which the tie break accounts for already.
             hashRank[row] = hashToUnitInterval(engine);
@@ -307,24 +307,24 @@
     // ---- for operators
 
     /** One line for each engine that is now sent clearly less than its share, or its share again. */
-    public List<String> trafficRemarks(IntToDoubleFunction effectiveCores, long now) {
-        List<String> remarks = new ArrayList<>();
+    public List<String> trafficMessages(IntToDoubleFunction effectiveCores, long now) {
+        List<String> messages = new ArrayList<>();
         for (int row = 0; row < rowCount; row++) {
             double byReports = reportFactor(row, now);
             double byObservation = up[row] ? effectiveCores.applyAsDouble(row) / Math.max(1e-3, cores[row])
                     : 1;
             double ratio = byObservation * Math.min(1, byReports);
-            if (up[row] && ratio < REDUCED_BELOW_RATIO && remarkedRatio[row] >= REDUCED_BELOW_RATIO) {
-                remarkedRatio[row] = ratio;
-                remarks.add("engine " + engineIds[row].address() + (byReports < byObservation
+            if (up[row] && ratio < REDUCED_BELOW_RATIO && loggedRatio[row] >= REDUCED_BELOW_RATIO) {
+                loggedRatio[row] = ratio;
+                messages.add("engine " + engineIds[row].address() + (byReports < byObservation
                         ? " says that it is busier than others"
                         : " is slower, colder or fails more than others") + ", is sent less");
-            } else if (up[row] && ratio > RESTORED_ABOVE_RATIO && remarkedRatio[row] < REDUCED_BELOW_RATIO) {
-                remarkedRatio[row] = 1;
-                remarks.add("engine " + engineIds[row].address() + " is sent its share again");
+            } else if (up[row] && ratio > RESTORED_ABOVE_RATIO && loggedRatio[row] < REDUCED_BELOW_RATIO) {
+                loggedRatio[row] = 1;
+                messages.add("engine " + engineIds[row].address() + " is sent its share again");
             }
         }
-        return remarks;
+        return messages;
     }
 
     /** A hash of the seed and the engine's name: greater than 0, at most 1. */
@@ -347,6 +347,6 @@
         reportedAt = Arrays.copyOf(reportedAt, size);
         coldCredit = Arrays.copyOf(coldCredit, size);
         coldCreditAt = Arrays.copyOf(coldCreditAt, size);
-        remarkedRatio = Arrays.copyOf(remarkedRatio, size);
+        loggedRatio = Arrays.copyOf(loggedRatio, size);
     }
 }
--- a/src/test/java/reedspring/ControlHarness.java
+++ b/src/test/java/reedspring/ControlHarness.java
@@ -138,7 +138,7 @@
     OpenQuery accept(int group, int tenant, long estimate, long patience, Id.OrderKey key) {
         OpenQuery q = new OpenQuery();
         q.event = new Event.Taken(new Id.Query(++lastId), new Id.Group(group),
-                tenant < 0 ? Id.Tenant.NOBODY : new Id.Tenant(tenant), new Id.DataSet(lastId % 7), estimate,
+                tenant < 0 ? Id.Tenant.UNKNOWN : new Id.Tenant(tenant), new Id.DataSet(lastId % 7), estimate,
                 estimate / 100.0, Math.min(now + patience, shutdownDeadline), key);
         openQueries.put(q.event.query(), q);
         acceptedAt.add(now);
--- a/src/test/java/reedspring/DecisionsTest.java
+++ b/src/test/java/reedspring/DecisionsTest.java
@@ -206,7 +206,7 @@
             OpenQuery q = new OpenQuery();
             long work = 500 + (long) (3_500 * -Math.log(1 - random.nextDouble()));
             q.event = new Event.Taken(new Id.Query(++lastId), new Id.Group(group),
-                    random.nextInt(12) == 0 ? Id.Tenant.NOBODY : new Id.Tenant(random.nextInt(2)),
+                    random.nextInt(12) == 0 ? Id.Tenant.UNKNOWN : new Id.Tenant(random.nextInt(2)),
                     new Id.DataSet(lastId % 7), random.nextInt(5) == 0 ? 0 : work,
                     random.nextInt(50) == 0 ? 6_000 : work / 30.0, now + 2_000 + random.nextInt(40_000),
                     random.nextInt(4) == 0 ? new Id.OrderKey("k" + random.nextInt(5)) : null);
@@ -372,7 +372,7 @@
                 log.append(" wake ").append(wake.timer().value()).append(' ').append(wake.delay());
             } else if (action instanceof Action.SubscribeToEngines) {
                 log.append(" follow");
-            } else if (action instanceof Action.Remark remark) {
+            } else if (action instanceof Action.LogMessage remark) {
                 log.append(" remark ").append(remark.text());
             } else {
                 throw new AssertionError("unknown kind of action: " + action);
--- a/src/test/java/reedspring/spread/SpreadTest.java
+++ b/src/test/java/reedspring/spread/SpreadTest.java
@@ -379,14 +379,14 @@
     void eachChangeOfAnEnginesTrafficIsRemarkedOnOnce() {
         Spread spread = front(1, 1, equalCores(3));
         double[] weights = equalCores(3);
-        assertEquals(List.of(), spread.trafficRemarks(k -> weights[k], START));
+        assertEquals(List.of(), spread.trafficMessages(k -> weights[k], START));
         weights[1] = 1.2;
-        assertEquals(1, spread.trafficRemarks(k -> weights[k], START).size());
-        assertEquals(List.of(), spread.trafficRemarks(k -> weights[k], START));
+        assertEquals(1, spread.trafficMessages(k -> weights[k], START).size());
+        assertEquals(List.of(), spread.trafficMessages(k -> weights[k], START));
         weights[1] = 5;
-        assertEquals(List.of(), spread.trafficRemarks(k -> weights[k], START), "no remark half way back");
+        assertEquals(List.of(), spread.trafficMessages(k -> weights[k], START), "no remark half way back");
         weights[1] = 8;
-        assertTrue(spread.trafficRemarks(k -> weights[k], START).get(0).contains("its share again"));
+        assertTrue(spread.trafficMessages(k -> weights[k], START).get(0).contains("its share again"));
     }
 
     /** Random events, with rows that are reused by other engines. */
