--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -485,8 +485,8 @@
                 fail(q, "failed");
                 releaseIfDone(q);
             }
-        } else if (action instanceof Action.StartTimer wake) {
-            timers.scheduleIn(wake.delay(), () -> enqueueEvent(new Event.Woken(wake.timer())));
+        } else if (action instanceof Action.StartTimer start) {
+            timers.scheduleIn(start.delay(), () -> enqueueEvent(new Event.Woken(start.timer())));
         } else if (action instanceof Action.LogMessage message) {
             log.warnText("decision", message.text());
         }
