--- a/src/main/java/reedspring/net/AcceptGuard.java
+++ b/src/main/java/reedspring/net/AcceptGuard.java
@@ -136,7 +136,7 @@
         failed = true;
         arrival.markNotEmptied();
         Cause failureCause = classify(cause);
-        front.log().line("accept failed", failureCause + ", " + cause.getMessage());
+        front.log().warn("accept failed", failureCause + ", " + cause.getMessage());
         front.counters().add(failureCause);
         // One pass can fail twice but pauses only once.
         long delayTicks = paused ? 0 : backoff.onFailure(failureCause);
--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -165,7 +165,7 @@
     /** Tells the client to request the page again after {@code pauseMs}. */
     void deferPageRead(long id, long pauseMs, String reason) {
         if (pageReads.remove(id)) {
-            front.log().line("page not read", reason);
+            front.log().warn("page not read", reason);
             sendShed(id, pauseMs);
         }
     }
@@ -189,7 +189,7 @@
 
     /** Sends an error and closes the connection, as requests that share an id can't be distinguished. */
     void closeForReusedId(long id, String reason) {
-        front.log().line("client connection closed, message id reused", reason);
+        front.log().warn("client connection closed, message id reused", reason);
         sendError(id, reason);
         pageReads.remove(id);
         OpenQuery openQuery = openQueries.remove(id);
@@ -240,7 +240,7 @@
 
     /** Refuses a request because a limit is reached. */
     void turnAway(long id) {
-        front.log().line("request turned away by a limit", "");
+        front.log().warn("request turned away by a limit", "");
         sendShed(id, front.limits().retryAfterMs);
     }
 
@@ -290,7 +290,7 @@
         // Reading goes on while answers wait, as closes and revokes are seen only that way. So a client that
         // never reads must be cut off: each answer takes memory, and no client has this many requests open.
         if (unsentAnswers > front.limits().maxUnreadAnswers && !closing) {
-            front.log().line("client connection closed, client does not read",
+            front.log().warn("client connection closed, client does not read",
                     unsentAnswers + " answers wait");
             close(CloseReason.NOT_READING);
         }
@@ -341,7 +341,7 @@
         answerFlushed = false;
         lastPendingBytes = pendingBytes;
         if (now - lastProgressAt >= front.limits().clientStallMs * 10L) {
-            front.log().line("client connection closed, client does not read", pendingBytes + " bytes wait");
+            front.log().warn("client connection closed, client does not read", pendingBytes + " bytes wait");
             close(CloseReason.NOT_READING);
         } else if (isIdleSince(now - front.limits().clientIdleMs * 10L)) {
             // There may be a request in the socket, not yet read.
@@ -349,10 +349,10 @@
                 closeGracefully(CloseReason.IDLE);
             }
         } else if (!everUsed && ++unusedTicks > front.limits().silentTicks) {
-            front.log().line("client connection closed, no valid request received", "");
+            front.log().warn("client connection closed, no valid request received", "");
             closeGracefully(CloseReason.NOTHING_OF_USE);
         } else if (isMessageOverdue()) {
-            front.log().line("client connection closed, message incomplete for too long", "");
+            front.log().warn("client connection closed, message incomplete for too long", "");
             closeGracefully(CloseReason.UNFINISHED_MESSAGE);
         }
     }
@@ -489,9 +489,9 @@
             return;
         }
         if (cause instanceof DecoderException && cause.getCause() == null) {
-            front.log().line("client connection closed, broken framing", cause.getMessage());
+            front.log().warn("client connection closed, broken framing", cause.getMessage());
         } else if (cause instanceof IOException) {
-            front.log().line("client connection lost", String.valueOf(cause.getMessage()));
+            front.log().warn("client connection lost", String.valueOf(cause.getMessage()));
         } else {
             front.log().error("client connection closed, fault", cause);
         }
--- a/src/main/java/reedspring/net/ClientConnections.java
+++ b/src/main/java/reedspring/net/ClientConnections.java
@@ -41,7 +41,7 @@
     boolean add(ClientConnection client) {
         acceptedCount++;
         if (unusedConnections.size() + usedConnections.size() >= limits.clientConnections) {
-            front.log().line("client connections at their limit", Integer.toString(limits.clientConnections));
+            front.log().warn("client connections at their limit", Integer.toString(limits.clientConnections));
             ClientConnection idle = findEvictable();
             if (idle != null) {
                 idle.closeGracefully(CloseReason.NO_ROOM);
--- a/src/main/java/reedspring/net/DeadlineMisses.java
+++ b/src/main/java/reedspring/net/DeadlineMisses.java
@@ -45,7 +45,7 @@
             report("query unanswered past its time, its client has gone", q, now);
         } else {
             // The client left in time, which is routine.
-            log.line("answer dropped, its connection had gone", q.trace);
+            log.warn("answer dropped, its connection had gone", q.trace);
         }
     }
 
@@ -75,7 +75,7 @@
             loggedInInterval = 0;
         }
         if (loggedInInterval++ >= limits.maxLoggedMisses) {
-            log.line(event + ", details omitted", "");
+            log.warn(event + ", details omitted", "");
             return;
         }
         log.warnText(event, String.format(Locale.ROOT, "%s: %s by %d ms; of %d ms: sent %s, heard %s, "
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -262,7 +262,7 @@
             recoverMissedReadiness();
         }
         if (connected && answerStalled()) {
-            front.log().line("engine connection closed, an answer does not end", engine);
+            front.log().warn("engine connection closed, an answer does not end", engine);
             close();
         }
         if (connected && !openSubmissions.isEmpty() && probeSentAt < 0
@@ -437,7 +437,7 @@
             return;
         }
         if (s.pages.length > 1 && front.isOverHeldLimit() && !s.query.client.isWritable()) {
-            front.log().line("result discarded, answer buffers at their limit", engine);
+            front.log().warn("result discarded, answer buffers at their limit", engine);
             front.submissionEnded(s, Outcome.FINISHED);
             return;
         }
@@ -483,7 +483,7 @@
             s.receivedPages.set(pageIndex);
             s.missingPages--;
         } else if (s.resultBytes > limits.answerBytes) {
-            front.log().line("engine result exceeds the size limit", engine);
+            front.log().warn("engine result exceeds the size limit", engine);
             front.submissionEnded(s, Outcome.ERROR);
         } else if (--s.missingPages == 0) {
             front.submissionEnded(s, Outcome.FINISHED);
@@ -513,7 +513,7 @@
         if (cause instanceof IOException) {
             closeReason = String.valueOf(cause.getMessage());
         } else if (cause instanceof DecoderException) {
-            front.log().line("engine connection closed, malformed answer", engine + " " + cause.getMessage());
+            front.log().warn("engine connection closed, malformed answer", engine + " " + cause.getMessage());
         } else {
             front.log().error("engine connection closed, fault", cause);
         }
@@ -525,7 +525,7 @@
         retired = true;
         onClosed.accept(this);
         if (!openSubmissions.isEmpty()) {
-            front.log().line(logText, engine + " " + detail);
+            front.log().warn(logText, engine + " " + detail);
         }
         for (Submission s : List.copyOf(openSubmissions.values())) {
             front.submissionEnded(s, s.written ? Outcome.BROKEN : outcome == Outcome.BROKEN
--- a/src/main/java/reedspring/net/EngineConnections.java
+++ b/src/main/java/reedspring/net/EngineConnections.java
@@ -98,7 +98,7 @@
             return;
         }
         if (leastLoaded == null && !(belowEngineLimit && makeRoom())) {
-            front.log().line("engine connections at their limit", engine.address());
+            front.log().warn("engine connections at their limit", engine.address());
             if (usable.isEmpty()) {
                 front.submissionEnded(s, Event.Outcome.UNREACHABLE);
             } else {
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -222,7 +222,7 @@
             counters.add(RequestRefusal.UNUSABLE);
         }
         if (fault != null) {
-            log.line("request refused", fault);
+            log.warn("request refused", fault);
             if (sameTraceQuery != null && sameTraceQuery.client == client
                     && sameTraceQuery.trace.equals(queryRequest.trace())) {
                 client.closeForReusedId(request.id(), fault);
@@ -329,7 +329,7 @@
     /** Fails a query that the decisions have left unanswered past its deadline. */
     private void failOverdue(OpenQuery q) {
         if (!q.answered()) {
-            log.line("query overdue, killed by the front", q.trace);
+            log.warn("query overdue, killed by the front", q.trace);
             fail(q, "no answer in time");
             enqueueEvent(new Event.Left(q.id));
             releaseIfDone(q);
@@ -502,7 +502,7 @@
         OpenQuery q = queriesById.get(submit.query());
         if (q == null || q.submission != null) {
             counters.add(q == null ? Verdict.QUERY_OVER : Verdict.ATTEMPT_OUT);
-            log.line("submission for a query that is over", Long.toString(submit.query().value()));
+            log.warn("submission for a query that is over", Long.toString(submit.query().value()));
             return;
         }
         long now = clock.now();
@@ -582,11 +582,11 @@
         recordRefusal(verdict, s.query);
         s.query.history.add(Step.WITHHELD, verdict, clock.now());
         switch (verdict) {
-            case REPEAT_FORGOTTEN -> log.line("submission withheld, its repeat would no longer be recognised",
+            case REPEAT_FORGOTTEN -> log.warn("submission withheld, its repeat would no longer be recognised",
                     s.query.trace);
-            case ENGINE_NOT_READY -> log.line("submission withheld, engine no longer up",
+            case ENGINE_NOT_READY -> log.warn("submission withheld, engine no longer up",
                     s.connection.engine());
-            case DEADLINE_PASSED -> log.line("submission withheld, its deadline has passed",
+            case DEADLINE_PASSED -> log.warn("submission withheld, its deadline has passed",
                     s.query.trace);
             default -> {
                 // Routine cases, such as a client that has left, are only counted.
@@ -734,7 +734,7 @@
 
     /** Registers a socket anew after the selector missed its readiness to read or write. */
     void reregister(Channel socket) {
-        log.line("socket not known to the selector, registered anew", String.valueOf(socket.remoteAddress()));
+        log.warn("socket not known to the selector, registered anew", String.valueOf(socket.remoteAddress()));
         counters.add(SocketFault.NOT_REGISTERED);
         Registration.renew(socket, turns);
     }
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -161,7 +161,7 @@
         private void onDialled(ChannelFuture future) {
             if (!future.isSuccess()) {
                 if (subscriptions.contains(this)) {
-                    front.log().line("journal unreachable", String.valueOf(future.cause().getMessage()));
+                    front.log().warn("journal unreachable", String.valueOf(future.cause().getMessage()));
                 }
                 onClosed();
                 return;
@@ -190,7 +190,7 @@
                 if (silentFor < (connected ? limits.journalSilenceMs : limits.journalConnectMs) * 10L) {
                     scheduleSilenceCheck();
                 } else if (subscriptions.peekLast() == this) {
-                    front.log().line("journal silent, reconnecting", "");
+                    front.log().warn("journal silent, reconnecting", "");
                     reconnectLater();
                 }
             });
@@ -239,14 +239,14 @@
             reading = true;
             try {
                 if (message instanceof HttpObject part && part.decoderResult().isFailure()) {
-                    front.log().line("journal response malformed", part.decoderResult().toString());
+                    front.log().warn("journal response malformed", part.decoderResult().toString());
                     ctx.close();
                     return;
                 }
                 if (message instanceof HttpResponse response) {
                     accepted = response.status().code() == 200;
                     if (!accepted) {
-                        front.log().line("journal refused the subscription", response.status().toString());
+                        front.log().warn("journal refused the subscription", response.status().toString());
                         ctx.close();
                         return;
                     }
@@ -284,14 +284,14 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (accepted && subscriptions.contains(this)) {
-                front.log().line("journal stream ended, reconnecting", "");
+                front.log().warn("journal stream ended, reconnecting", "");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof IOException) {
-                front.log().line("journal stream lost", String.valueOf(cause.getMessage()));
+                front.log().warn("journal stream lost", String.valueOf(cause.getMessage()));
             } else {
                 front.log().error("journal stream closed, fault", cause);
             }
@@ -321,7 +321,7 @@
         Map<?, ?> list = event.get("hosts") == null ? null : Json.map(event.get("hosts"), "hosts");
         boolean complete = list != null && isComplete(list);
         if (eventNumber > position + 1 && !complete) {
-            front.log().line("journal events missing", position + " to " + eventNumber);
+            front.log().warn("journal events missing", position + " to " + eventNumber);
             if (!gapRetried) {
                 gapRetried = true;
                 return false;
@@ -343,10 +343,10 @@
         boolean repeated = !id.isEmpty() && id.equals(lastMalformedId);
         lastMalformedId = id;
         if (!repeated) {
-            front.log().line("journal event malformed, reconnecting", reason);
+            front.log().warn("journal event malformed, reconnecting", reason);
             return;
         }
-        front.log().line("journal event malformed again, skipped", reason);
+        front.log().warn("journal event malformed again, skipped", reason);
         try {
             position = Math.max(position, Long.parseLong(id));
         } catch (NumberFormatException e) {
@@ -356,7 +356,7 @@
 
     /** Keeps the current list. Requesting the event again would only return the same event. */
     private void skipOversized(String logText, long size, long limit) {
-        front.log().line(logText, size + " of " + limit);
+        front.log().warn(logText, size + " of " + limit);
         gapRetried = true;
     }
 
@@ -398,7 +398,7 @@
         hosts.values().removeIf(host -> !isGone(host) && !knownHosts.containsKey(host.listing().engine())
                 && --room[0] < 0);
         if (hosts.size() < listed) {
-            front.log().line("engines at their limit, left out", listed - hosts.size() + " of " + listed);
+            front.log().warn("engines at their limit, left out", listed - hosts.size() + " of " + listed);
         }
     }
 
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -170,10 +170,10 @@
             submissionsByAnswer.put(accepted.answer(), s);
             pageReceived(s, 0, s.pages[0]);
         } else if (action instanceof SpoolAction.RefuseAnswer refused) {
-            front.log().line("answer not kept", refused.reason());
+            front.log().warn("answer not kept", refused.reason());
             endNotKept(submissionsByQuery.get(refused.query()));
         } else if (action instanceof SpoolAction.FailAnswer failed) {
-            front.log().line("answer not kept", failed.reason());
+            front.log().warn("answer not kept", failed.reason());
             Submission s = submissionsByAnswer.remove(failed.answer());
             endNotKept(s);
         } else if (action instanceof SpoolAction.FetchPage fetch) {
--- a/src/main/java/reedspring/net/Log.java
+++ b/src/main/java/reedspring/net/Log.java
@@ -40,16 +40,16 @@
     }
 
     /** Writes a warning; its event is its kind. */
-    void line(String event, String detail) {
-        line(event, event, detail);
+    void warn(String event, String detail) {
+        warn(event, event, detail);
     }
 
     /** Writes a warning whose text is its kind; the event is written in JSON lines only. */
     void warnText(String event, String text) {
-        line(text, json == null ? text : event, json == null ? "" : text);
+        warn(text, json == null ? text : event, json == null ? "" : text);
     }
 
-    private void line(String kind, String event, String detail) {
+    private void warn(String kind, String event, String detail) {
         if (counterOf(kind)[0]++ == 0) {
             long began = System.nanoTime();
             Logger.warn(json != null ? json.line("warn", event, printable(detail), 0)
--- a/src/main/java/reedspring/net/StallProbe.java
+++ b/src/main/java/reedspring/net/StallProbe.java
@@ -168,7 +168,7 @@
         long ms = stallNanos / NANOS_PER_MS;
         stalls[cause.ordinal()]++;
         stalledMs[cause.ordinal()] += ms;
-        log.line(cause.event, ms + " ms; in " + (now - sampledAt) / NANOS_PER_MS + " ms ran "
+        log.warn(cause.event, ms + " ms; in " + (now - sampledAt) / NANOS_PER_MS + " ms ran "
                 + spent[ThreadTimes.LOOP_RAN] / NANOS_PER_MS + ", queued "
                 + spent[ThreadTimes.LOOP_QUEUED] / NANOS_PER_MS
                 + "; VM thread " + spent[ThreadTimes.VM_RAN] / NANOS_PER_MS + ", "
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -85,11 +85,11 @@
             Channel listener = BIND_ATTEMPTS.call(() -> bind(loop, front, configuration),
                     failure -> isUnavailable(failure) && !termination.isRequested());
             if (!reloadsEnabled) {
-                front.log().line("SIGHUP is inherited as ignored from the parent process, no reload is heard",
+                front.log().warn("SIGHUP is inherited as ignored from the parent process, no reload is heard",
                         "");
             }
             if (!dispatchedWithoutThreads) {
-                front.log().line("each signal starts a new thread",
+                front.log().warn("each signal starts a new thread",
                         "this JVM does not allow replacing its signal handlers");
             }
             front.log().info("front " + configuration.name() + " serves on",
@@ -185,7 +185,7 @@
             reloads.start();
             return true;
         } catch (OutOfMemoryError e) {
-            front.log().line("no thread for reloads, SIGHUP is ignored", e.getMessage());
+            front.log().warn("no thread for reloads, SIGHUP is ignored", e.getMessage());
             return false;
         }
     }
@@ -235,7 +235,7 @@
         try {
             InetSocketAddress service = FrontConfiguration.read(path).journal();
             loop.execute(() -> {
-                front.log().line("configuration read again, journal at", service.toString());
+                front.log().warn("configuration read again, journal at", service.toString());
                 journal.changeAddress(service);
             });
             return true;
@@ -252,7 +252,7 @@
     /** The message is part of the event, so that the log's rate limit applies to each fault on its own. */
     private static void logUnusable(EventLoop loop, Front front, InvalidConfigurationException error) {
         String line = "configuration can't be used, nothing changed: " + error.getMessage();
-        loop.execute(() -> front.log().line(line, ""));
+        loop.execute(() -> front.log().warn(line, ""));
     }
 
     /** Closes the spool and writes the last log lines, for a limited time, as the log may be blocked. */
--- a/src/test/java/reedspring/net/StallsIT.java
+++ b/src/test/java/reedspring/net/StallsIT.java
@@ -127,7 +127,7 @@
     @Example
     void slowLogWriter() throws Exception {
         EventLoop loop = startLoop();
-        String line = stallLine(loop, () -> localFront.log().line("slow", ""));
+        String line = stallLine(loop, () -> localFront.log().warn("slow", ""));
         assertTrue(line.startsWith("event loop stalled, writing the log: 3"), line);
         assertTrue(line.contains("; log 3"), line);
     }
