--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -364,10 +364,10 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
-        DeploymentReader boot = new DeploymentReader(Map.of());
-        Limits limits = new Limits(boot, 1024, 192);
+        DeploymentReader deploymentReader = new DeploymentReader(Map.of());
+        Limits limits = new Limits(deploymentReader, 1024, 192);
         loop.submit(() -> {
-            Front localFront = new Front(loop, turns, boot, limits, new Log(limits, null), 1);
+            Front localFront = new Front(loop, turns, deploymentReader, limits, new Log(limits, null), 1);
             OpenQuery q = new OpenQuery(new Id.Query(1),
                     new RpcDecoder.Request(1, "lookup", Map.of(), Unpooled.EMPTY_BUFFER, null), null,
                     new QueryRequest(null, null, 0, 0, 0, Client.trace(), 1, null, null),
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -70,9 +70,9 @@
         Map<String, String> settings = new HashMap<>(SETTINGS);
         settings.put("allowed.sendCap", Integer.toString(maxSubmissions));
         settings.put("classes.0.effect", effect);
-        DeploymentReader boot = new DeploymentReader(settings);
-        limits = new Limits(boot, 1024, 192);
-        front = onLoop(() -> new Front(loop, turns, boot, limits, new Log(limits, null), 1,
+        DeploymentReader deploymentReader = new DeploymentReader(settings);
+        limits = new Limits(deploymentReader, 1024, 192);
+        front = onLoop(() -> new Front(loop, turns, deploymentReader, limits, new Log(limits, null), 1,
                 made -> withDecisionHook(new EngineConnections(loop, limits, made))));
     }
 
