--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -136,13 +136,13 @@
         this.createdAt = now;
         this.actionSink = actions;
         if (deployment.discovery().mustSubscribe()) {
-            actions.accept(new Action.FollowEngines());
+            actions.accept(new Action.SubscribeToEngines());
         }
-        actions.accept(new Action.WakeMe(PERIODIC_TIMER, spread.firstDelay(PERIOD_TICKS)));
+        actions.accept(new Action.StartTimer(PERIODIC_TIMER, spread.firstDelay(PERIOD_TICKS)));
     }
 
     /** Handles one event that arrived at the given time and emits the resulting actions. */
-    public void on(long time, Event event, Consumer<Action> actions) {
+    public void onEvent(long time, Event event, Consumer<Action> actions) {
         now = Math.max(now, time);
         actionSink = actions;
         if (event instanceof Event.EnginesListed enginesListed) {
@@ -228,7 +228,7 @@
     // ---- engines
 
     private void updateEngines(Event.EnginesListed list) {
-        if (list.kind() != Event.Reading.CHANGES) {
+        if (list.kind() != Event.ListKind.CHANGES) {
             Set<Id.Engine> listedIds = list.entries().stream().map(Event.Listing::engine)
                     .collect(Collectors.toSet());
             engines.stream().filter(engine -> !engine.gone && !listedIds.contains(engine.id))
@@ -296,7 +296,7 @@
         private long ejectionTicks = MIN_EJECTION_TICKS;
         private long maxEjectionTicks = MAX_EJECTION_TICKS;
         private long ejectedUntil;
-        private long lastHeardAt;
+        private long lastReceivedAt;
         // When a query last finished here in about its expected runtime.
         private long lastTimelyFinishAt = Long.MIN_VALUE;
         private final List<AbandonedRun> abandonedRuns = new ArrayList<>();
@@ -314,7 +314,7 @@
         }
 
         private void onProgress(Query q, Event.ShareDone progress) {
-            lastHeardAt = now;
+            lastReceivedAt = now;
             post(scheduler, actor -> actor.onProgress(q, progress));
         }
 
@@ -326,7 +326,7 @@
             gone = listing.health() == Event.Health.GONE;
             removedRows.set(row, gone);
             Deployment.Machine machine = deployment.machines().get(kind);
-            // An engine of unknown size is taken to have the mean number of cores of the known kinds or, if
+            // An engine of unknown size is assumed to have the mean number of cores of the known kinds or, if
             // none is known, as many cores as the widest query has threads.
             cores[row] = machine != null && machine.cores() > 0 ? machine.cores()
                     : deployment.machines().values().stream().mapToDouble(Deployment.Machine::cores)
@@ -347,25 +347,25 @@
 
         private void send(Query q) {
             if (ownQueries[row] == 0) {
-                lastHeardAt = now;
+                lastReceivedAt = now;
             }
             ownThreads[row] += q.threads;
             ownMemoryMb[row] += q.needMb;
             ownQueries[row]++;
             spread.submissionSent(row, scheduler.typicalWork[q.group] / scheduler.lightestWork());
-            if (deployment.allowed().priorities()
+            if (deployment.capabilities().priorities()
                     && q.work / q.threads < deployment.groups().get(q.group).targetBase() / 2.0) {
                 actionSink.accept(new Action.SetPriority(q.id, 2));
             }
-            actionSink.accept(new Action.Submit(q.id, id, 0, scheduler.latestDeparture(q)));
+            actionSink.accept(new Action.Submit(q.id, id, 0, scheduler.latestSendAt(q)));
         }
 
         private void onClosed(Query q, Event.Closed closed) {
-            lastHeardAt = now;
+            lastReceivedAt = now;
             Outcome outcome = closed.outcome();
             ownQueries[row]--;
             spread.submissionEnded(row, closed.elapsed());
-            if (outcome == Outcome.TIMED_OUT && !deployment.allowed().cancel() && !q.writtenOff) {
+            if (outcome == Outcome.TIMED_OUT && !deployment.capabilities().cancel() && !q.writtenOff) {
                 double expectedTicks = q.work / q.threads
                         * Math.exp(Double.isNaN(engineLogSlowdown[row]) ? 0 : engineLogSlowdown[row]);
                 long remainingTicks = (long) Math.min(MAX_ABANDONED_RUN_TICKS,
@@ -395,7 +395,7 @@
                 ejected[row] = false;
                 ejectionTicks = MIN_EJECTION_TICKS;
                 maxEjectionTicks = MAX_EJECTION_TICKS;
-                actionSink.accept(new Action.Remark("engine " + id.address() + " is back"));
+                actionSink.accept(new Action.LogMessage("engine " + id.address() + " is back"));
             } else if (ejected[row]) {
                 ejectionTicks = isError || outcome == Outcome.TIMED_OUT
                         ? Math.min(maxEjectionTicks, ejectionTicks * 2)
@@ -435,8 +435,8 @@
                 ownMemoryMb[row] -= done ? run.needMb() : 0;
                 return done;
             });
-            if (!ejected[row] && now - lastHeardAt >= Math.max(MIN_SILENCE_TICKS,
-                    deployment.noteEvery() * 5 / 4)
+            if (!ejected[row] && now - lastReceivedAt >= Math.max(MIN_SILENCE_TICKS,
+                    deployment.progressInterval() * 5 / 4)
                     && scheduler.queries.values().stream()
                             .filter(q -> q.runningOn == row && scheduler.isStalled(q)).count() > 1) {
                 eject("is silent");
@@ -465,7 +465,8 @@
             if (sumOverAvailable(k -> 1) - 1 >= upCount * (1 - MAX_EJECTED_RATIO)) {
                 ejected[row] = true;
                 ejectedUntil = now + spread.probeDelay(row, ejectionTicks, scheduler.lightestWork());
-                actionSink.accept(new Action.Remark("engine " + id.address() + " " + reason + ", barred"));
+                actionSink.accept(new Action.LogMessage(
+                        "engine " + id.address() + " " + reason + ", barred"));
             }
         }
     }
@@ -503,7 +504,7 @@
 
     /**
      * The logarithm of measured thread time divided by work. If the front was stalled itself, the time is
-     * known only as a range; the value of that range that is nearest to the current estimate is taken, so
+     * known only as a range; the value of that range that is nearest to the current estimate is used, so
      * that the front's own lag is not attributed to an engine.
      */
     private static double observedLogSlowdown(double current, double minTicks, double maxTicks, double work) {
@@ -622,7 +623,7 @@
         private long finishedCount;
         private long limitReachedAt;
         private long discoveryRetryAt = -1;
-        private long lastRemarksAt;
+        private long lastMessagesAt;
         private double recentArrivals;
         private long lastArrivalAt;
         private final double totalTenantRate;
@@ -716,7 +717,7 @@
             if (now >= q.clientDeadline - ANSWER_MARGIN_TICKS) {
                 // A client's retry may arrive with so little time left that the next periodic check would
                 // be too late.
-                giveUp(q);
+                deferOrKill(q);
             } else if (keyQueue != null) {
                 enqueueHead(keyQueue);
             } else {
@@ -764,7 +765,7 @@
         }
 
         private double concurrencyLimit(double effectiveCores) {
-            // Threads beyond the share are given up first: none are left at the minimum factor.
+            // Threads beyond the share are released first: none are left at the minimum factor.
             double minFactor = MIN_LIMIT_RATIO / deployment.fronts() / frontShare();
             return Math.max(maxQueryThreads, effectiveCores * THREADS_PER_CORE * frontShare() * limitFactor
                     + extraThreads * Math.max(0, limitFactor - minFactor) / Math.max(1e-3, 1 - minFactor));
@@ -795,7 +796,7 @@
          * recovers soon.
          */
         private double safeMemoryRatio() {
-            if (deployment.allowed().cancel()) {
+            if (deployment.capabilities().cancel()) {
                 return MAX_MEMORY_RATIO;
             }
             double relativeSize = meanNeedMb <= 0 ? 0
@@ -1039,13 +1040,13 @@
             if (q.answered) {
                 remove(q);
             } else if (outcome != Outcome.NOT_SENT && outcome != Outcome.NOT_KEPT
-                    && q.submissions < deployment.allowed().submissions()
+                    && q.submissions < deployment.capabilities().maxSubmissions()
                     && mayResubmit(q, false)
                     && now + expectedRuntime(q) < q.clientDeadline - ANSWER_MARGIN_TICKS) {
                 q.failedOn = q.lastSentTo;
                 enqueue(q);
             } else {
-                giveUp(q);
+                deferOrKill(q);
             }
             post(this, Scheduler::dispatch);
         }
@@ -1102,10 +1103,10 @@
         /** Whether another submission is permitted by the rules on effects and by the resubmission budget. */
         private boolean mayResubmit(Query q, boolean asProbe) {
             Deployment.ResourceGroup group = deployment.groups().get(q.group);
-            if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestDeparture(q)) {
+            if (!RepeatPolicy.mayRunAgain(group, asProbe || q.firstRanOn >= 0) || now >= latestSendAt(q)) {
                 return false;
             }
-            Deployment.Ration budget = deployment.resubmissionBudget();
+            Deployment.ResubmissionBudget budget = deployment.resubmissionBudget();
             if (budget == null) {
                 return true;
             }
@@ -1124,7 +1125,7 @@
          * The latest time at which the query may be sent again. The limit holds for its arrival at the
          * engine, which a slow connection or a stall of the event loop may delay.
          */
-        private long latestDeparture(Query q) {
+        private long latestSendAt(Query q) {
             long recognisedUntil = RepeatPolicy.recognisedUntil(deployment.groups().get(q.group),
                     q.firstRanOn >= 0, q.firstRanSince);
             return recognisedUntil == Long.MAX_VALUE ? recognisedUntil : recognisedUntil - MAX_TRANSIT_TICKS;
@@ -1158,12 +1159,12 @@
 
         private boolean mayRestart(Query q) {
             return deployment.groups().get(q.group).effect() == Effect.READ_ONLY
-                    && q.submissions < deployment.allowed().submissions() && mayResubmit(q, false);
+                    && q.submissions < deployment.capabilities().maxSubmissions() && mayResubmit(q, false);
         }
 
         /** Whether it is far overdue without progress reports: its answer may be lost or its engine hung. */
         private boolean isStalled(Query q) {
-            return isFarOverdue(q) && now - q.progressAt > deployment.noteEvery() * 1.3;
+            return isFarOverdue(q) && now - q.progressAt > deployment.progressInterval() * 1.3;
         }
 
         private boolean isFarOverdue(Query q) {
@@ -1171,7 +1172,7 @@
         }
 
         private void cancel(Query q) {
-            if (deployment.allowed().cancel() && !q.cancelled && !q.streaming) {
+            if (deployment.capabilities().cancel() && !q.cancelled && !q.streaming) {
                 q.cancelled = true;
                 actionSink.accept(new Action.Cancel(q.id, new Id.Submission(q.submissions - 1)));
             }
@@ -1183,9 +1184,10 @@
         }
 
         /** Sends the final answer for a query that will not be served. */
-        private void giveUp(Query q) {
+        private void deferOrKill(Query q) {
             // If an engine failed the query, rather than capacity being short, the client may retry at once.
-            long maxRetryAfter = deployment.allowed().comeBack() ? deployment.allowed().longestComeBack() : 0;
+            long maxRetryAfter = deployment.capabilities().retryTimes()
+                    ? deployment.capabilities().maxRetryAfter() : 0;
             long retryAfter = q.runningOn >= 0 ? Math.min(PERIOD_TICKS, maxRetryAfter)
                     : spread.retryAfter(maxRetryAfter);
             actionSink.accept(mayDefer(q, q.firstRanOn >= 0) ? new Action.Defer(q.id, retryAfter)
@@ -1230,18 +1232,18 @@
         }
 
         private void onPeriodicTimer() {
-            actionSink.accept(new Action.WakeMe(PERIODIC_TIMER, PERIOD_TICKS));
+            actionSink.accept(new Action.StartTimer(PERIODIC_TIMER, PERIOD_TICKS));
             if (discoveryRetryAt >= 0 && now >= discoveryRetryAt) {
                 discoveryRetryAt = -1;
-                actionSink.accept(new Action.FollowEngines());
+                actionSink.accept(new Action.SubscribeToEngines());
             }
             keyQueues.values().removeIf(keyQueue -> keyQueue.queries.isEmpty()
                     && now >= keyQueue.blockedUntil);
             keyQueues.values().forEach(this::enqueueHead);
-            if (now - lastRemarksAt >= TICKS_PER_SECOND) {
-                lastRemarksAt = now;
-                spread.trafficRemarks(Control.this::effectiveCores, now)
-                        .forEach(remark -> actionSink.accept(new Action.Remark(remark)));
+            if (now - lastMessagesAt >= TICKS_PER_SECOND) {
+                lastMessagesAt = now;
+                spread.trafficMessages(Control.this::effectiveCores, now)
+                        .forEach(message -> actionSink.accept(new Action.LogMessage(message)));
             }
             medianLogSlowdown = median(engineLogSlowdown);
             medianErrorRate = median(errorRate);
@@ -1273,11 +1275,11 @@
                     .mapToInt(q -> q.runningOn).distinct().count();
             for (Query q : new ArrayList<>(queries.values())) {
                 if (q.runningOn >= 0) {
-                    if (isFarOverdue(q) && !deployment.allowed().cancel()) {
+                    if (isFarOverdue(q) && !deployment.capabilities().cancel()) {
                         post(engines.get(q.runningOn),
                                 engine -> engine.ejectIfThrashing(q, enginesWithOverdue));
                         if (ejected[q.runningOn] && !q.answered && mayDefer(q, true)) {
-                            giveUp(q); // can't be cancelled, but its client still has time for a retry
+                            deferOrKill(q); // can't be cancelled, but its client still has time for a retry
                         }
                     }
                     if (now >= q.overdueAt && !q.answered && !ejected[q.runningOn]) {
@@ -1286,7 +1288,7 @@
                         observeSlowdown((now - q.sentAt) * q.threads, (now - q.sentAt) * q.threads, q.work,
                                 0.05);
                     }
-                    if (isStalled(q) && !q.answered && deployment.allowed().cancel() && mayRestart(q)) {
+                    if (isStalled(q) && !q.answered && deployment.capabilities().cancel() && mayRestart(q)) {
                         cancel(q);
                     } else if (isStalled(q) && !q.cancelled && !q.writtenOff) {
                         // No more progress reports: the query has ended and its answer is lost, or the engine
@@ -1299,7 +1301,7 @@
                                 && (deployment.groups().get(q.group).lateValue() <= 0
                                         || now + expectedRuntime(q)
                                                 > q.clientDeadline - ANSWER_MARGIN_TICKS)) {
-                    giveUp(q);
+                    deferOrKill(q);
                 } else if (!q.missesTarget
                         && (!q.waitsForMemory || now - limitReachedAt < TICKS_PER_SECOND)) {
                     // Below the concurrency limit, giving up a query that waits for memory helps no other.
@@ -1312,7 +1314,7 @@
             queued.sort(Comparator.comparingDouble(q -> value(q) / q.work));
             for (int k = 0; k < queued.size() && queuedWork / throughput > shortestTarget * 0.4; k++) {
                 queuedWork -= queued.get(k).work;
-                giveUp(queued.get(k));
+                deferOrKill(queued.get(k));
             }
         }
     }
--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -15,8 +15,8 @@
 import reedspring.api.Event;
 import reedspring.api.Id;
 import reedspring.api.Load;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 import reedspring.boot.Times;
 
 /** Serves the simulator's line protocol for any number of independent fronts in one process. */
@@ -29,7 +29,7 @@
     private long lineNumber;
     private long now;
 
-    private record Front(Boot boot, Control control) {
+    private record Front(DeploymentReader deploymentReader, Control control) {
     }
 
     public Adapter(InputStream input, OutputStream output) {
@@ -80,11 +80,11 @@
                     "CLOSED_ATTEMPT" -> {
                 int instance = (int) line.integer("i");
                 Front front = fronts.get(instance);
-                Event report = front == null ? null : parseReport(front.boot, line);
+                Event report = front == null ? null : parseReport(front.deploymentReader, line);
                 if (report != null) {
                     decide(instance, front, report);
                 }
-                Event event = front == null ? null : parseEvent(front.boot, line);
+                Event event = front == null ? null : parseEvent(front.deploymentReader, line);
                 if (event != null) {
                     decide(instance, front, event);
                 }
@@ -98,15 +98,16 @@
     private void attach(Line line) throws WireException {
         int instance = (int) line.integer("i");
         long seed = line.integer("seed");
-        Boot boot;
+        DeploymentReader deploymentReader;
         try {
-            boot = new Boot(line.allFields());
-        } catch (BootException e) {
+            deploymentReader = new DeploymentReader(line.allFields());
+        } catch (InvalidConfigurationException e) {
             throw line.malformed(e.field(), e.reason());
         }
         List<Action> actions = new ArrayList<>();
         try {
-            Front front = new Front(boot, new Control(seed, boot.deployment(), now, actions::add));
+            Front front = new Front(deploymentReader,
+                    new Control(seed, deploymentReader.deployment(), now, actions::add));
             fronts.put(instance, front);
             write(instance, actions);
         } catch (RuntimeException e) {
@@ -117,7 +118,7 @@
     private void decide(int instance, Front front, Event event) {
         List<Action> actions = new ArrayList<>();
         try {
-            front.control.on(now, event, actions::add);
+            front.control.onEvent(now, event, actions::add);
             write(instance, actions);
         } catch (RuntimeException e) {
             reportFault(instance, e);
@@ -160,9 +161,9 @@
         };
     }
 
-    private Event parseEvent(Boot boot, Line line) throws WireException {
+    private Event parseEvent(DeploymentReader deploymentReader, Line line) throws WireException {
         return switch (line.name()) {
-            case "WORK_ITEM" -> parseTaken(boot, line);
+            case "WORK_ITEM" -> parseTaken(deploymentReader, line);
             case "ROSTER_CHANGE" -> parseListed(line);
             case "GONE" -> new Event.Left(parseQuery(line));
             case "STATUS_NOTE" -> parseNote(line);
@@ -180,31 +181,31 @@
         return new Id.Submission((int) line.integer("copy"));
     }
 
-    private static Event parseTaken(Boot boot, Line line) throws WireException {
+    private static Event parseTaken(DeploymentReader deploymentReader, Line line) throws WireException {
         String groupName = line.text("profile");
-        Id.Group group = boot.group(groupName);
+        Id.Group group = deploymentReader.group(groupName);
         if (group == null) {
             throw line.malformed("profile", "'" + groupName + "' is not a class of this instance");
         }
         String key = line.find("target");
         String set = line.find("dataset");
-        return new Event.Taken(parseQuery(line), group, boot.tenant(line.find("realm")),
+        return new Event.Taken(parseQuery(line), group, deploymentReader.tenant(line.find("realm")),
                 set == null ? Id.DataSet.UNKNOWN : new Id.DataSet((long) line.number("dataset", set)),
-                Times.nearest(Math.max(0, line.number("planCostMs", 0))),
+                Times.nearestTicks(Math.max(0, line.number("planCostMs", 0))),
                 Math.max(0, line.number("needMb", 0)),
                 Times.ticksAt(line.number("expiresMs")), key == null ? null : new Id.OrderKey(key));
     }
 
     private Event parseListed(Line line) throws WireException {
         String mode = line.text("mode");
-        Event.Reading reading;
+        Event.ListKind reading;
         switch (mode) {
             case "unavailable" -> {
                 return new Event.ListUnavailable();
             }
-            case "update" -> reading = Event.Reading.CHANGES;
-            case "replace" -> reading = Event.Reading.COMPLETE;
-            case "restored" -> reading = Event.Reading.REMEMBERED;
+            case "update" -> reading = Event.ListKind.CHANGES;
+            case "replace" -> reading = Event.ListKind.COMPLETE;
+            case "restored" -> reading = Event.ListKind.CACHED;
             default -> throw line.malformed("mode", "'" + mode + "' is not a list mode");
         }
         List<Event.Listing> entries = directories.get((int) line.integer("setId"));
@@ -220,7 +221,7 @@
     }
 
     /** The load report in a line, or null. Its values are in the order of {@code report.columns}. */
-    private static Event parseReport(Boot boot, Line line) throws WireException {
+    private static Event parseReport(DeploymentReader deploymentReader, Line line) throws WireException {
         String gauge = line.find("gauge");
         String engine = line.find("engine");
         if (gauge == null || engine == null) {
@@ -228,7 +229,7 @@
         }
         Load load = Load.UNKNOWN;
         String[] values = gauge.split(",");
-        List<String> columns = boot.reportColumns();
+        List<String> columns = deploymentReader.reportColumns();
         for (int k = 0; k < Math.min(values.length, columns.size()); k++) {
             load = load.with(columns.get(k), line.number("gauge", values[k]));
         }
@@ -252,7 +253,7 @@
         // The bits above the lowest 12 of the note hold the work in milliseconds.
         long noteValue = note == null || outcome != Event.Outcome.FINISHED ? 0 : line.integer("note", note);
         return new Event.Closed(parseQuery(line), parseSubmission(line), outcome, line.flag("settled"),
-                Times.nearest(line.number("elapsedMs", 0)), 0, (noteValue >> 12) * 10);
+                Times.nearestTicks(line.number("elapsedMs", 0)), 0, (noteValue >> 12) * 10);
     }
 
     private void write(int instance, List<Action> actions) {
@@ -269,17 +270,17 @@
                         .append(cancel.submission().value());
             } else if (action instanceof Action.Defer defer) {
                 beginCommand("DECLINE", instance, defer.query());
-                appendMs(" retryInMs=", defer.comeBack());
+                appendMs(" retryInMs=", defer.retryAfter());
             } else if (action instanceof Action.Kill kill) {
                 beginCommand("REPORT_FAILURE", instance, kill.query());
-            } else if (action instanceof Action.WakeMe wake) {
-                reply.append("WAKE_ME i=").append(instance).append(" handle=").append(wake.timer().value());
-                appendMs(" spanMs=", wake.span());
-            } else if (action instanceof Action.FollowEngines) {
+            } else if (action instanceof Action.StartTimer start) {
+                reply.append("WAKE_ME i=").append(instance).append(" handle=").append(start.timer().value());
+                appendMs(" spanMs=", start.delay());
+            } else if (action instanceof Action.SubscribeToEngines) {
                 reply.append("FOLLOW i=").append(instance).append(" active=1");
-            } else if (action instanceof Action.Remark remark) {
+            } else if (action instanceof Action.LogMessage message) {
                 reply.append("REMARK i=").append(instance).append(" msg=")
-                        .append(remark.text().replace('\n', ' '));
+                        .append(message.text().replace('\n', ' '));
             }
             reply.append('\n');
         }
--- a/src/main/java/reedspring/core/policy/EngineStartTime.java
+++ b/src/main/java/reedspring/core/policy/EngineStartTime.java
@@ -5,8 +5,8 @@
  * machine may have been stepped since this process started, by seconds or by an hour. So the time is
  * converted in two ways: relative to the wall clock when this process started, and relative to the current
  * wall clock; for each kind of step one of the two is right. The later one is used unless it is in the
- * future, because an engine that is wrongly taken for cold only gets a little less work, while one that is
- * wrongly taken for warm is overloaded.
+ * future, because an engine that is wrongly assumed to be cold only gets a little less work, while one that
+ * is wrongly assumed to be warm is overloaded.
  *
  * <p>Times are in ticks (whole tenths of a millisecond) of the process's monotonic clock.
  */
@@ -37,9 +37,9 @@
      * Corrects the estimate for an engine that has just appeared in a live stream of changes. A start long
      * before the previous message of the stream contradicts that: the clock of the engine's machine is wrong.
      *
-     * @param lastHeard when the previous message of the stream arrived
+     * @param lastReceived when the previous message of the stream arrived
      */
-    public static long ofNewEngine(long estimate, long lastHeard) {
-        return estimate < lastHeard - MAX_NOTICE_DELAY_TICKS ? lastHeard : estimate;
+    public static long ofNewEngine(long estimate, long lastReceived) {
+        return estimate < lastReceived - MAX_NOTICE_DELAY_TICKS ? lastReceived : estimate;
     }
 }
--- a/src/main/java/reedspring/core/policy/QueryLifecycle.java
+++ b/src/main/java/reedspring/core/policy/QueryLifecycle.java
@@ -44,7 +44,7 @@
             return this == ALLOWED;
         }
 
-        /** Whether it shows a fault of the caller, which should not have asked. */
+        /** Whether it shows an error of the caller, which should have prevented this. */
         public boolean breach() {
             return breach;
         }
@@ -87,8 +87,8 @@
         this.maxSubmissions = maxSubmissions;
     }
 
-    /** Starts another submission if permitted; it is then outstanding until {@link #attemptEnded}. */
-    public Verdict startAttempt() {
+    /** Starts another submission if permitted; it is then outstanding until {@link #submissionEnded}. */
+    public Verdict startSubmission() {
         if (submission != SubmissionState.NONE) {
             return Verdict.ATTEMPT_OUT;
         }
@@ -128,7 +128,7 @@
     }
 
     /** @param neverRan whether its outcome proves that the engine did not start it */
-    public void attemptEnded(boolean neverRan) {
+    public void submissionEnded(boolean neverRan) {
         mayHaveRun |= submission == SubmissionState.SENT && !neverRan;
         submission = SubmissionState.NONE;
     }
@@ -145,7 +145,7 @@
         return Verdict.ALLOWED;
     }
 
-    /** The final answer if the query is given up now. */
+    /** The final answer if the query is abandoned now. */
     public Answer answerIfGivenUp() {
         return RepeatPolicy.mayDefer(group, mayHaveRunSoFar()) ? Answer.DEFERRED : Answer.FAILED;
     }
--- a/src/main/java/reedspring/net/AcceptGuard.java
+++ b/src/main/java/reedspring/net/AcceptGuard.java
@@ -17,7 +17,7 @@
 final class AcceptGuard extends ChannelInboundHandlerAdapter {
     /** Maximum number of connections that Netty accepts in one read loop. */
     private static final int ACCEPTS_PER_PASS = 16;
-    /** An interrupted accept looks like an empty accept queue; two in a row are taken as empty. */
+    /** An interrupted accept looks like an empty accept queue; two in a row count as empty. */
     private static final int EMPTY_PASSES = 2;
     private static final int MAX_PASSES = 256;
 
@@ -27,7 +27,7 @@
     private int accepted;
     private boolean acceptingAll;
     private boolean failed;
-    private boolean rests;
+    private boolean paused;
     private Channel listener;
     /** The selector has reported a connection, which proves that the listener is registered. */
     private boolean selectorReported;
@@ -39,8 +39,8 @@
     }
 
     /** Whether accepting is paused after a failure, so that connections may be waiting. */
-    boolean rests() {
-        return rests;
+    boolean paused() {
+        return paused;
     }
 
     /** Lower bound of the arrival time of the connection that is being accepted, in ticks. */
@@ -60,7 +60,7 @@
      * may have failed.
      */
     void tick() {
-        if (selectorReported || rests || listener == null || !listener.isActive()) {
+        if (selectorReported || paused || listener == null || !listener.isActive()) {
             return;
         }
         int before = accepted;
@@ -74,7 +74,7 @@
         }
         if (accepted > before) {
             accepted = 0;
-            front.registersAnew(listener);
+            front.reregister(listener);
         }
     }
 
@@ -82,7 +82,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
         accepted++;
         selectorReported |= !acceptingAll;
-        backoff.succeeded();
+        backoff.onSuccess();
         ctx.fireChannelRead(connection);
     }
 
@@ -90,7 +90,7 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!acceptingAll) {
             boolean more = accepted >= ACCEPTS_PER_PASS;
-            if (!rests && arrival.mayHaveWaited()) {
+            if (!paused && arrival.mayHaveWaited()) {
                 // The queue filled during a stall: until it is empty, any connection in it may be that old.
                 more = !acceptAll(ctx.channel());
             }
@@ -130,26 +130,26 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            front.log().fault("listener fault", cause);
+            front.log().error("listener fault", cause);
             return;
         }
         failed = true;
         arrival.markNotEmptied();
         Cause failureCause = classify(cause);
-        front.log().line("accept failed", failureCause + ", " + cause.getMessage());
+        front.log().warn("accept failed", failureCause + ", " + cause.getMessage());
         front.counters().add(failureCause);
         // One pass can fail twice but pauses only once.
-        long delayTicks = rests ? 0 : backoff.failed(failureCause);
+        long delayTicks = paused ? 0 : backoff.onFailure(failureCause);
         if (delayTicks > 0) {
             Channel listener = ctx.channel();
-            rests = true;
+            paused = true;
             listener.config().setAutoRead(false);
-            front.timers().in(delayTicks, () -> acceptAgain(listener));
+            front.timers().scheduleIn(delayTicks, () -> acceptAgain(listener));
         }
     }
 
     private void acceptAgain(Channel listener) {
-        rests = false;
+        paused = false;
         // The listener was not polled during the pause.
         arrival.markNotEmptied();
         if (listener.isOpen()) {
--- a/src/main/java/reedspring/net/ArrivalBound.java
+++ b/src/main/java/reedspring/net/ArrivalBound.java
@@ -6,21 +6,21 @@
  * process, too. Times are in ticks; one tick is a tenth of a millisecond.
  *
  * <p>The bound comes from the selector: a socket that a poll does not report was empty at some time after the
- * start of that poll, and so was a socket whose read returned less than requested. A time taken after a poll
+ * start of that poll, and so was a socket whose read returned less than requested. A time read after a poll
  * proves nothing, as the process may have been stopped between the two.
  */
 final class ArrivalBound {
     /** A bound that is no older than this, in ticks, is accurate enough. */
     private static final long CLOSE_ENOUGH_TICKS = 100;
 
-    private final Turns turns;
+    private final EventLoopTurns turns;
     private final Clock clock;
     private long emptyAt;
     /** The latest turn of the loop in which the socket is not known to have been emptied. */
     private long unprovenTurn;
 
     /** @param emptyAt a time in ticks at which the socket was empty or did not exist */
-    ArrivalBound(Turns turns, Clock clock, long emptyAt) {
+    ArrivalBound(EventLoopTurns turns, Clock clock, long emptyAt) {
         this.turns = turns;
         this.clock = clock;
         this.emptyAt = emptyAt;
--- a/src/main/java/reedspring/net/ClientConnection.java
+++ b/src/main/java/reedspring/net/ClientConnection.java
@@ -31,7 +31,7 @@
     /** Whether the front, not the client, closed the connection. */
     private boolean closedByFront;
     private boolean connectionLost;
-    private Timers.Due lingerTimer;
+    private Timers.Timer lingerTimer;
     /** Bytes that waited in the write buffer at the last check. */
     private long lastPendingBytes;
     /** Whether an answer with rows or pages was flushed since the last check. */
@@ -45,7 +45,7 @@
     private int stalledMessageTicks;
     private long lastMessageCount;
     private long lastByteCount;
-    /** When the client last took bytes of what waits for it. */
+    /** When the client last read bytes of its pending answers. */
     private long lastProgressAt;
 
     /** Creates a connection that is accepted now. */
@@ -63,7 +63,7 @@
     }
 
     /** Returns whether part of a message has been received. */
-    boolean midway() {
+    boolean hasPartialMessage() {
         return decoder.hasPartialMessage();
     }
 
@@ -83,15 +83,15 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        front.probe().is("client message");
+        front.stallProbe().nameWork("client message");
         lastUsedAt = front.clock().now();
         if (closing || !ctx.channel().isOpen()) {
             // Read in one go with the message that caused the close, but behind it.
-            if (message instanceof RpcDecoder.Call call && call.body() != null) {
-                call.body().release();
+            if (message instanceof RpcDecoder.Request request && request.body() != null) {
+                request.body().release();
             }
-        } else if (message instanceof RpcDecoder.Call call) {
-            handleRequest(call);
+        } else if (message instanceof RpcDecoder.Request request) {
+            handleRequest(request);
         } else if (message instanceof RpcDecoder.Refused refused) {
             turnAway(refused.id());
         } else if (message instanceof RpcDecoder.Notification notification
@@ -103,50 +103,50 @@
         }
     }
 
-    private void handleRequest(RpcDecoder.Call call) {
+    private void handleRequest(RpcDecoder.Request request) {
         try {
-            if (openQueries.containsKey(call.id())) {
+            if (openQueries.containsKey(request.id())) {
                 // An answer under this id could belong to either request, so neither may get rows.
-                closeForReusedId(call.id(), "the id is open already");
-            } else if (call.fault() != null) {
-                sendError(call.id(), call.fault());
-            } else if (call.method().equals("heartbeat")) {
+                closeForReusedId(request.id(), "the id is open already");
+            } else if (request.fault() != null) {
+                sendError(request.id(), request.fault());
+            } else if (request.method().equals("heartbeat")) {
                 markUsed();
-                writeAnswer(RpcWriter.heartbeat(context.alloc(), call.id(), front.isReady()));
-            } else if (front.kept() != null && (call.method().equals("page")
-                    || call.method().equals("release"))) {
-                handleKeptAnswerRequest(call);
-            } else if (openQueries.size() + unsentAnswers >= front.limits().clientQueries) {
-                front.recordTurnedAway(call);
-                turnAway(call.id());
+                writeAnswer(RpcWriter.heartbeat(context.alloc(), request.id(), front.isReady()));
+            } else if (front.keptAnswers() != null && (request.method().equals("page")
+                    || request.method().equals("release"))) {
+                handleKeptAnswerRequest(request);
+            } else if (openQueries.size() + unsentAnswers >= front.limits().maxClientQueries) {
+                front.recordTurnedAway(request);
+                turnAway(request.id());
             } else {
-                OpenQuery q = front.acceptRequest(this, call, socketReads.earliestArrival());
+                OpenQuery q = front.acceptRequest(this, request, socketReads.earliestArrival());
                 if (q != null) {
                     markUsed();
-                    openQueries.put(call.id(), q);
+                    openQueries.put(request.id(), q);
                     front.startDecisions(q);
                 }
             }
         } finally {
-            if (call.body() != null) {
-                call.body().release();
+            if (request.body() != null) {
+                request.body().release();
             }
         }
     }
 
     /** Handles a request to read a page of a kept answer, or to release it. */
-    private void handleKeptAnswerRequest(RpcDecoder.Call call) {
-        if (pageReads.contains(call.id())) {
-            closeForReusedId(call.id(), "the id is open already");
-        } else if (call.method().equals("release")) {
+    private void handleKeptAnswerRequest(RpcDecoder.Request request) {
+        if (pageReads.contains(request.id())) {
+            closeForReusedId(request.id(), "the id is open already");
+        } else if (request.method().equals("release")) {
             markUsed();
-            front.kept().release(this, call.id(), call.fields());
-        } else if (pageReads.size() >= front.limits().clientQueries) {
-            turnAway(call.id());
+            front.keptAnswers().release(this, request.id(), request.fields());
+        } else if (pageReads.size() >= front.limits().maxClientQueries) {
+            turnAway(request.id());
         } else {
             markUsed();
-            pageReads.add(call.id());
-            front.kept().requestPage(this, call.id(), call.fields());
+            pageReads.add(request.id());
+            front.keptAnswers().requestPage(this, request.id(), request.fields());
         }
     }
 
@@ -155,7 +155,7 @@
         if (pageReads.remove(id) && context.channel().isActive()) {
             markUsed();
             int length = text.readableBytes();
-            ByteBuf message = RpcWriter.rows(context.alloc(), id, List.of(text), "sheet",
+            ByteBuf message = RpcWriter.result(context.alloc(), id, List.of(text), "sheet",
                     Integer.toString(page));
             text.release();
             writeAnswer(message, length, null);
@@ -165,7 +165,7 @@
     /** Tells the client to request the page again after {@code pauseMs}. */
     void deferPageRead(long id, long pauseMs, String reason) {
         if (pageReads.remove(id)) {
-            front.log().line("page not read", reason);
+            front.log().warn("page not read", reason);
             sendShed(id, pauseMs);
         }
     }
@@ -187,9 +187,9 @@
         writeAnswer(RpcWriter.heartbeat(context.alloc(), id, true));
     }
 
-    /** Sends an error and closes the connection, as requests that share an id can't be told apart. */
+    /** Sends an error and closes the connection, as requests that share an id can't be distinguished. */
     void closeForReusedId(long id, String reason) {
-        front.log().line("client connection closed, message id reused", reason);
+        front.log().warn("client connection closed, message id reused", reason);
         sendError(id, reason);
         pageReads.remove(id);
         OpenQuery openQuery = openQueries.remove(id);
@@ -197,16 +197,16 @@
             // Both requests have this id, and the error above is the one answer under it.
             front.clientLeft(openQuery, false);
         }
-        shut(CloseReason.NUMBER_USED_TWICE);
+        closeGracefully(CloseReason.NUMBER_USED_TWICE);
     }
 
     /** Returns whether the client reads its answers: the write buffer is below its limit. */
-    boolean reads() {
+    boolean isWritable() {
         return context.channel().isWritable();
     }
 
     void sendRows(OpenQuery q, List<ByteBuf> pages) {
-        if (front.full() && !reads()) {
+        if (front.isOverHeldLimit() && !isWritable()) {
             // The client still gets an answer, but a small one.
             sendKill(q, "results wait unread");
             return;
@@ -214,7 +214,7 @@
         openQueries.remove(q.messageId);
         markUsed();
         int length = pages.stream().mapToInt(ByteBuf::readableBytes).sum();
-        writeAnswer(RpcWriter.rows(context.alloc(), q.messageId, pages), length, q);
+        writeAnswer(RpcWriter.result(context.alloc(), q.messageId, pages), length, q);
     }
 
     /** Sends the first page of a kept answer, with the handle under which the others are requested. */
@@ -222,8 +222,8 @@
         openQueries.remove(q.messageId);
         markUsed();
         ByteBuf first = s.pages[0];
-        writeAnswer(RpcWriter.rows(context.alloc(), q.messageId, List.of(first), "sheets",
-                Integer.toString(s.sheets), "handle", s.handle, "kept", Long.toString(s.keptForMs)),
+        writeAnswer(RpcWriter.result(context.alloc(), q.messageId, List.of(first), "sheets",
+                Integer.toString(s.pageCount), "handle", s.handle, "kept", Long.toString(s.keptForMs)),
                 first.readableBytes(), q);
     }
 
@@ -240,8 +240,8 @@
 
     /** Refuses a request because a limit is reached. */
     void turnAway(long id) {
-        front.log().line("request turned away by a limit", "");
-        sendShed(id, front.limits().comeBack);
+        front.log().warn("request turned away by a limit", "");
+        sendShed(id, front.limits().retryAfterMs);
     }
 
     private void sendShed(long id, long pauseMs) {
@@ -273,13 +273,13 @@
      */
     private void writeAnswer(ByteBuf message, int heldBytes, OpenQuery q) {
         unsentAnswers++;
-        front.hold(heldBytes);
+        front.addHeldBytes(heldBytes);
         if (q != null) {
             front.deadlineMisses().answerDecided(q);
         }
         context.writeAndFlush(message).addListener(done -> {
             unsentAnswers--;
-            front.hold(-heldBytes);
+            front.addHeldBytes(-heldBytes);
             answerFlushed |= heldBytes > 0;
             if (q != null && done.isSuccess()) {
                 front.deadlineMisses().answerWritten(q);
@@ -289,8 +289,8 @@
         });
         // Reading goes on while answers wait, as closes and revokes are seen only that way. So a client that
         // never reads must be cut off: each answer takes memory, and no client has this many requests open.
-        if (unsentAnswers > front.limits().clientUnread && !closing) {
-            front.log().line("client connection closed, client does not read",
+        if (unsentAnswers > front.limits().maxUnreadAnswers && !closing) {
+            front.log().warn("client connection closed, client does not read",
                     unsentAnswers + " answers wait");
             close(CloseReason.NOT_READING);
         }
@@ -298,36 +298,36 @@
 
     /** Returns whether the client has had time to send its first request. */
     boolean isPastGracePeriod() {
-        return unusedTicks >= front.limits().chanceTicks;
+        return unusedTicks >= front.limits().firstMessageTicks;
     }
 
     /** Records a valid request or an answer. */
     private void markUsed() {
         everUsed = true;
         lastUsedAt = front.clock().now();
-        front.roster().markUsed(this);
+        front.clientConnections().markUsed(this);
     }
 
     boolean isIdleSince(long time) {
-        return openQueries.isEmpty() && lastUsedAt < time && !unsent();
+        return openQueries.isEmpty() && lastUsedAt < time && !hasPendingBytes();
     }
 
-    boolean unsent() {
+    boolean hasPendingBytes() {
         return pendingBytes() > 0;
     }
 
     /** Returns how many bytes wait in the write buffer. */
     private long pendingBytes() {
-        return SocketReads.pending(context.channel());
+        return SocketReads.pendingBytes(context.channel());
     }
 
     /** Registers the socket anew if the selector has missed input, or that it can be written to. */
     private void reregisterIfMissed() {
         Channel connection = context.channel();
         boolean outputStalled = pendingBytes() > 0 && pendingBytes() >= lastPendingBytes && !answerFlushed;
-        boolean missedInput = !closing && socketReads.findsUntold(connection, front.clock().now());
-        if (missedInput || outputStalled && SocketReads.sendsUntold(connection)) {
-            front.registersAnew(connection);
+        boolean missedInput = !closing && socketReads.readUnreported(connection, front.clock().now());
+        if (missedInput || outputStalled && SocketReads.flushUnreported(connection)) {
+            front.reregister(connection);
         }
     }
 
@@ -340,20 +340,20 @@
         }
         answerFlushed = false;
         lastPendingBytes = pendingBytes;
-        if (now - lastProgressAt >= front.limits().clientStall * 10L) {
-            front.log().line("client connection closed, client does not read", pendingBytes + " bytes wait");
+        if (now - lastProgressAt >= front.limits().clientStallMs * 10L) {
+            front.log().warn("client connection closed, client does not read", pendingBytes + " bytes wait");
             close(CloseReason.NOT_READING);
-        } else if (isIdleSince(now - front.limits().clientIdle * 10L)) {
+        } else if (isIdleSince(now - front.limits().clientIdleMs * 10L)) {
             // There may be a request in the socket, not yet read.
-            if (there() && isIdleSince(now - front.limits().clientIdle * 10L)) {
-                shut(CloseReason.IDLE);
+            if (readAndCheckOpen() && isIdleSince(now - front.limits().clientIdleMs * 10L)) {
+                closeGracefully(CloseReason.IDLE);
             }
         } else if (!everUsed && ++unusedTicks > front.limits().silentTicks) {
-            front.log().line("client connection closed, no valid request received", "");
-            shut(CloseReason.NOTHING_OF_USE);
+            front.log().warn("client connection closed, no valid request received", "");
+            closeGracefully(CloseReason.NOTHING_OF_USE);
         } else if (isMessageOverdue()) {
-            front.log().line("client connection closed, message incomplete for too long", "");
-            shut(CloseReason.UNFINISHED_MESSAGE);
+            front.log().warn("client connection closed, message incomplete for too long", "");
+            closeGracefully(CloseReason.UNFINISHED_MESSAGE);
         }
     }
 
@@ -364,17 +364,17 @@
      */
     private boolean isMessageOverdue() {
         boolean partial = decoder.hasPartialMessage() && decoder.messageCount() == lastMessageCount
-                && reads();
-        boolean stalled = partial && socketReads.bytes() == lastByteCount;
+                && isWritable();
+        boolean stalled = partial && socketReads.bytesRead() == lastByteCount;
         lastMessageCount = decoder.messageCount();
-        lastByteCount = socketReads.bytes();
+        lastByteCount = socketReads.bytesRead();
         partialMessageTicks = partial ? partialMessageTicks + 1 : 0;
         stalledMessageTicks = stalled ? stalledMessageTicks + 1 : 0;
         if (hasOpenWork()) {
             return false;
         }
         return (everUsed ? stalledMessageTicks : partialMessageTicks) > front.limits().unfinishedTicks
-                || partialMessageTicks > front.limits().slowTicks;
+                || partialMessageTicks > front.limits().slowMessageTicks;
     }
 
     /** Closes the connection at once; unread input and unsent answers are lost. */
@@ -394,7 +394,7 @@
      * lose answers in flight. Requests read after the shutdown can't be answered, so they must not be sent to
      * an engine; the client sees the end of the stream and retries elsewhere.
      */
-    void shut(CloseReason reason) {
+    void closeGracefully(CloseReason reason) {
         if (closing) {
             return;
         }
@@ -404,7 +404,7 @@
         decoder.discardInput();
         answerOpenWork();
         releaseQueries();
-        front.roster().addLingering(this);
+        front.clientConnections().addLingering(this);
         lastPendingBytes = Long.MAX_VALUE;
         lastProgressAt = front.clock().now();
         scheduleLingerCheck();
@@ -422,12 +422,12 @@
      * any client may stall: one that pauses for two seconds must not lose the answers that wait.
      */
     private void scheduleLingerCheck() {
-        lingerTimer = front.timers().in(front.limits().clientLinger * 10L, () -> {
+        lingerTimer = front.timers().scheduleIn(front.limits().lingerMs * 10L, () -> {
             long pendingBytes = pendingBytes();
             long now = front.clock().now();
             lastProgressAt = pendingBytes < lastPendingBytes ? now : lastProgressAt;
             lastPendingBytes = pendingBytes;
-            if (pendingBytes > 0 && now - lastProgressAt < front.limits().clientStall * 10L) {
+            if (pendingBytes > 0 && now - lastProgressAt < front.limits().clientStallMs * 10L) {
                 scheduleLingerCheck();
             } else {
                 close();
@@ -441,9 +441,9 @@
         List.copyOf(openQueries.values()).forEach(front::answerBeforeClose);
     }
 
-    /** Leaves the roster and ends the remaining queries unanswered. */
+    /** Removes itself from the client connections and ends the remaining queries unanswered. */
     private void releaseQueries() {
-        front.roster().remove(this);
+        front.clientConnections().remove(this);
         List<OpenQuery> abandoned = new ArrayList<>(openQueries.values());
         openQueries.clear();
         pageReads.clear();
@@ -454,7 +454,7 @@
      * Reads the socket to its end and returns whether the connection is still open. After a stall of the loop
      * a query, its revoke and the close may all wait in the socket, and one selector wake-up reads only part.
      */
-    boolean there() {
+    boolean readAndCheckOpen() {
         Channel connection = context.channel();
         if (!closing) {
             socketReads.readAll(connection);
@@ -478,7 +478,7 @@
         }
         closing = true;
         releaseQueries();
-        front.roster().removeLingering(this);
+        front.clientConnections().removeLingering(this);
         front.timers().cancel(lingerTimer);
     }
 
@@ -489,18 +489,18 @@
             return;
         }
         if (cause instanceof DecoderException && cause.getCause() == null) {
-            front.log().line("client connection closed, broken framing", cause.getMessage());
+            front.log().warn("client connection closed, broken framing", cause.getMessage());
         } else if (cause instanceof IOException) {
-            front.log().line("client connection lost", String.valueOf(cause.getMessage()));
+            front.log().warn("client connection lost", String.valueOf(cause.getMessage()));
         } else {
-            front.log().fault("client connection closed, fault", cause);
+            front.log().error("client connection closed, fault", cause);
         }
         if (cause instanceof IOException) {
             connectionLost = true;
             close();
         } else {
-            shut(cause instanceof DecoderException && cause.getCause() == null ? CloseReason.BROKEN_FRAMING
-                    : CloseReason.FAULT);
+            closeGracefully(cause instanceof DecoderException && cause.getCause() == null
+                    ? CloseReason.BROKEN_FRAMING : CloseReason.FAULT);
         }
     }
 }
--- a/src/main/java/reedspring/net/EngineConnection.java
+++ b/src/main/java/reedspring/net/EngineConnection.java
@@ -48,7 +48,7 @@
     /** The late traces whose queries the engine may still be running. */
     private final Set<String> runningTraces = new LinkedHashSet<>();
     private final AnswerDecoder decoder;
-    private final Rows rowValidator;
+    private final RowValidator rowValidator;
     private final SocketReads socketReads = new SocketReads();
     private Channel channel;
     private long decodedAtLastCheck;
@@ -61,8 +61,8 @@
     private long lastReceivedAt;
     private long probeSentAt = -1;
 
-    EngineConnection(Front front, Limits limits, Rows rowValidator, String engine, BooleanSupplier engineUp,
-                     Consumer<EngineConnection> onClosed) {
+    EngineConnection(Front front, Limits limits, RowValidator rowValidator, String engine,
+                     BooleanSupplier engineUp, Consumer<EngineConnection> onClosed) {
         this.front = front;
         this.limits = limits;
         this.rowValidator = rowValidator;
@@ -78,22 +78,23 @@
         ChannelFuture connecting = dialer.clone().handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel created) {
-                created.pipeline().addLast(socketReads, new FlushConsolidationHandler(limits.flushes, true),
+                created.pipeline().addLast(socketReads,
+                        new FlushConsolidationHandler(limits.maxMessagesPerWrite, true),
                         new WholeCommandEncoder(), new RedisDecoder(), decoder, self);
             }
         }).connect(address);
         channel = connecting.channel();
         // Uses the front's own timers: after a pause of this process, Netty's connect timeout would fire
         // before the socket is looked at, and an engine that accepted in time would count as unreachable.
-        Timers.Due connectTimer = front.timers().in(limits.connectTimeout * 10L, () -> {
-            closeReason = "not connected within " + limits.connectTimeout + " ms";
+        Timers.Timer connectTimer = front.timers().scheduleIn(limits.connectTimeoutMs * 10L, () -> {
+            closeReason = "not connected within " + limits.connectTimeoutMs + " ms";
             Front.close(channel);
         });
-        front.dialled(connecting, future -> {
+        front.onDialComplete(connecting, future -> {
             front.timers().cancel(connectTimer);
             if (future.isSuccess()) {
                 connected = true;
-                openSubmissions.values().forEach(front::departs);
+                openSubmissions.values().forEach(front::queueForSending);
             } else {
                 closeSubmissions(Outcome.UNREACHABLE, "engine unreachable",
                         future.cause() instanceof ClosedChannelException
@@ -119,7 +120,7 @@
     /** Whether the submission may be sent on this connection. */
     boolean accepts(Submission s) {
         // Answers carry only the query's id: late answers to an earlier submission of the same query could
-        // not be told from those to this one, and pages of two runs must not be mixed in one result.
+        // not be distinguished from those to this one, and pages of two runs must not be mixed in one result.
         return !retired && openSubmissions.size() < limits.connectionQueries
                 && !openSubmissions.containsKey(s.query.trace)
                 && !lateTraces.contains(s.query.trace)
@@ -132,7 +133,7 @@
      * network has recovered, and later data queues behind it.
      */
     boolean isUnresponsive() {
-        return probeSentAt >= 0 && front.clock().now() - probeSentAt >= limits.connectTimeout * 10L;
+        return probeSentAt >= 0 && front.clock().now() - probeSentAt >= limits.connectTimeoutMs * 10L;
     }
 
     /** Adds the submission and hands it over for sending, at once or when the connection opens. */
@@ -143,7 +144,7 @@
             lastReceivedAt = front.clock().now();
         }
         if (connected) {
-            front.departs(s);
+            front.queueForSending(s);
         }
     }
 
@@ -152,17 +153,17 @@
     }
 
     /** Whether the engine may be sent submissions, by the list of engines as it stands. */
-    boolean departable() {
+    boolean canSend() {
         return !retired && engineUp.getAsBoolean();
     }
 
     /**
-     * Reads the socket and tells whether the connection is still open. Engines close idle connections, some
+     * Reads the socket and returns whether the connection is still open. Engines close idle connections, some
      * of them early; a submission written after that has an unknown outcome, and a mutating query can't be
      * sent again. A connection that has not carried anything yet is not checked: an engine that closes every
      * new connection counts as unreachable.
      */
-    boolean there() {
+    boolean checkOpen() {
         if (openSubmissions.size() > 1 || !everSent) {
             return true;
         }
@@ -172,7 +173,7 @@
     }
 
     /** Removes a submission that is to be sent on another connection. */
-    void release(Submission s) {
+    void detach(Submission s) {
         openSubmissions.remove(s.query.trace, s);
         s.connection = null;
     }
@@ -183,7 +184,7 @@
      *
      * @return false if there was no memory for the command; no part of it has been written then
      */
-    boolean depart(Submission s) {
+    boolean write(Submission s) {
         OpenQuery q = s.query;
         lastUsedAt = front.clock().now();
         everSent = true;
@@ -192,7 +193,7 @@
         long remainingMs = Math.max(1, (s.timeoutAt - lastUsedAt) / 10);
         String fields = "lane=" + q.group + ",ttl=" + remainingMs
                 + (q.priority >= 0 ? ",urgency=" + q.priority : "")
-                + (q.mark != null ? ",dedupe=" + q.mark : "");
+                + (q.repeatToken != null ? ",dedupe=" + q.repeatToken : "");
         if (!writeCommand(q.statement, "fetch", q.trace, fields)) {
             return false;
         }
@@ -219,10 +220,10 @@
     /** Forgets the submission; answers to it that come later are dropped. */
     void drop(Submission s) {
         if (openSubmissions.remove(s.query.trace, s)) {
-            if (s.sheets > 1 && connected) {
+            if (s.pageCount > 1 && connected) {
                 sendCommand("done", s.query.trace);
             }
-            if (s.written && (s.pages == null || s.missing > 0)) {
+            if (s.written && (s.pages == null || s.missingPages > 0)) {
                 addBounded(lateTraces, s.query.trace);
                 if (s.pages == null) {
                     addBounded(runningTraces, s.query.trace);
@@ -254,18 +255,18 @@
         // have an unknown outcome. Not while the engine may still run a query of this connection, which
         // closing would cancel.
         if (openSubmissions.isEmpty() && runningTraces.isEmpty()
-                && now - lastUsedAt >= limits.engineIdle * 10L) {
+                && now - lastUsedAt >= limits.engineIdleMs * 10L) {
             close();
         }
         if (connected) {
             recoverMissedReadiness();
         }
         if (connected && answerStalled()) {
-            front.log().line("engine connection closed, an answer does not end", engine);
+            front.log().warn("engine connection closed, an answer does not end", engine);
             close();
         }
         if (connected && !openSubmissions.isEmpty() && probeSentAt < 0
-                && now - lastReceivedAt >= limits.engineSilence * 10L) {
+                && now - lastReceivedAt >= limits.engineSilenceMs * 10L) {
             probeSentAt = now;
             sendCommand("alive", "front");
         }
@@ -273,9 +274,9 @@
 
     /** Registers the channel again if the selector misses it, or misses that it has data to read or write. */
     private void recoverMissedReadiness() {
-        if (!openSubmissions.isEmpty() && socketReads.findsUntold(channel, front.clock().now())
-                || SocketReads.sendsUntold(channel)) {
-            front.registersAnew(channel);
+        if (!openSubmissions.isEmpty() && socketReads.readUnreported(channel, front.clock().now())
+                || SocketReads.flushUnreported(channel)) {
+            front.reregister(channel);
         }
     }
 
@@ -284,11 +285,11 @@
      * its remainder, so no submission on this connection could finish any more.
      */
     private boolean answerStalled() {
-        boolean unchanged = socketReads.bytes() != decoder.decodedBytes()
+        boolean unchanged = socketReads.bytesRead() != decoder.decodedBytes()
                 && decodedAtLastCheck == decoder.decodedBytes();
         decodedAtLastCheck = decoder.decodedBytes();
         stalledChecks = unchanged ? stalledChecks + 1 : 0;
-        return stalledChecks > limits.partTicks;
+        return stalledChecks > limits.incompleteAnswerTicks;
     }
 
     private void close() {
@@ -298,8 +299,8 @@
         }
     }
 
-    private void sendCommand(String... words) {
-        if (writeCommand(null, words)) {
+    private void sendCommand(String... arguments) {
+        if (writeCommand(null, arguments)) {
             channel.flush();
         }
     }
@@ -308,25 +309,25 @@
      * Writes a command without flushing. Returns false if nothing was written, because memory was lacking or
      * the connection had closed.
      */
-    private boolean writeCommand(ByteBuf body, String... words) {
+    private boolean writeCommand(ByteBuf body, String... arguments) {
         Throwable failure;
         try {
-            failure = channel.write(buildCommand(body, words)).cause();
+            failure = channel.write(buildCommand(body, arguments)).cause();
         } catch (OutOfMemoryError e) {
             failure = e;
         }
         if (failure != null && !(failure instanceof ClosedChannelException)) {
-            front.log().fault("command to an engine not written", failure);
+            front.log().error("command to an engine not written", failure);
         }
         return failure == null;
     }
 
     /** Builds a command from words and an optional body; the caller keeps its reference to the body. */
-    private ArrayRedisMessage buildCommand(ByteBuf body, String... words) {
-        List<RedisMessage> parts = new ArrayList<>(words.length + 1);
+    private ArrayRedisMessage buildCommand(ByteBuf body, String... arguments) {
+        List<RedisMessage> parts = new ArrayList<>(arguments.length + 1);
         try {
-            for (String word : words) {
-                parts.add(new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(channel.alloc(), word)));
+            for (String argument : arguments) {
+                parts.add(new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(channel.alloc(), argument)));
             }
         } catch (RuntimeException | Error e) {
             parts.forEach(ReferenceCountUtil::release);
@@ -340,7 +341,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        front.probe().is("engine answer");
+        front.stallProbe().nameWork("engine answer");
         AnswerDecoder.Answer answer = (AnswerDecoder.Answer) message;
         try {
             if (!ctx.channel().isOpen()) {
@@ -351,17 +352,17 @@
             probeSentAt = -1;
             Submission s = openSubmissions.get(answer.id());
             if (s != null) {
-                s.query.heardAt = lastReceivedAt;
+                s.query.firstReplyAt = lastReceivedAt;
             }
             boolean late = lateTraces.contains(answer.id());
             if (answer.fields().get("rep") != null) {
-                front.reported(engine, answer.fields().get("rep"));
+                front.loadReported(engine, answer.fields().get("rep"));
             }
-            if (s == null && FINAL_ANSWER_KINDS.contains(answer.word())
+            if (s == null && FINAL_ANSWER_KINDS.contains(answer.kind())
                     && runningTraces.remove(answer.id())) {
                 lateTraces.remove(answer.id());
             }
-            switch (answer.word()) {
+            switch (answer.kind()) {
                 case "data" -> onData(s, answer, late);
                 case "page" -> onPage(s, answer);
                 case "full" -> closeByAnswer(s, Outcome.TURNED_AWAY);
@@ -369,7 +370,7 @@
                 case "moot" -> closeByAnswer(s, Outcome.NOT_SENT);
                 case "news" -> {
                     if (s != null && "done".equals(answer.fields().get("why"))) {
-                        front.progress(s, numericField(answer, "val", 0));
+                        front.reportProgress(s, numericField(answer, "val", 0));
                     }
                 }
                 case "well" -> {
@@ -385,23 +386,23 @@
     private void closeByAnswer(Submission s, Outcome outcome) {
         if (s != null) {
             if (s.pages == null) {
-                // The engine may send its final answer twice. The duplicate would be taken for the end of the
-                // query's next submission, and a query that runs would count as never run.
+                // The engine may send its final answer twice. The duplicate would be mistaken for the end of
+                // the query's next submission, and a query that runs would count as never run.
                 openSubmissions.remove(s.query.trace, s);
                 addBounded(lateTraces, s.query.trace);
             }
-            front.closed(s, outcome);
+            front.submissionEnded(s, outcome);
         }
     }
 
     /** Requests a page of a result that goes to the spool. */
-    void more(Submission s, int page) {
+    void requestPage(Submission s, int page) {
         sendCommand("more", s.query.trace, Integer.toString(page));
     }
 
     private void onData(Submission s, AnswerDecoder.Answer answer, boolean late) {
         double pageCount = numericField(answer, "sheets", 1);
-        boolean spoolable = s != null && s.pages == null && s.query.paged && pageCount > 1
+        boolean spoolable = s != null && s.pages == null && s.query.wantsPages && pageCount > 1
                 && pageCount == Math.rint(pageCount)
                 && pageCount <= Integer.MAX_VALUE;
         if (!(pageCount >= 1 && (spoolable || pageCount <= limits.pages))) {
@@ -414,30 +415,30 @@
             }
             return;
         }
-        s.sheets = (int) pageCount;
-        s.missing = s.sheets;
-        front.seenEnd(s);
-        s.work = Math.round(Math.max(0, numericField(answer, "toil", 0)) * 10);
+        s.pageCount = (int) pageCount;
+        s.missingPages = s.pageCount;
+        front.recordEnd(s);
+        s.workTicks = Math.round(Math.max(0, numericField(answer, "toil", 0)) * 10);
         if (spoolable && !s.query.answered()) {
             s.pages = new ByteBuf[1];
             s.receivedPages = new BitSet();
             storePage(s, 0, answer.body());
-            front.kept().begin(s);
+            front.keptAnswers().offerAnswer(s);
             return;
         }
-        s.pages = new ByteBuf[s.sheets];
+        s.pages = new ByteBuf[s.pageCount];
         storePage(s, 0, answer.body());
-        if (s.over) {
+        if (s.ended) {
             return;
         }
         if (s.query.answered()) {
             // The query has been answered already: the other pages are not needed, but the run counts.
-            front.closed(s, Outcome.FINISHED);
+            front.submissionEnded(s, Outcome.FINISHED);
             return;
         }
-        if (s.pages.length > 1 && front.full() && !s.query.client.reads()) {
-            front.log().line("result discarded, answer buffers at their limit", engine);
-            front.closed(s, Outcome.FINISHED);
+        if (s.pages.length > 1 && front.isOverHeldLimit() && !s.query.client.isWritable()) {
+            front.log().warn("result discarded, answer buffers at their limit", engine);
+            front.submissionEnded(s, Outcome.FINISHED);
             return;
         }
         for (int k = 1; k < s.pages.length; k++) {
@@ -450,7 +451,7 @@
             return;
         }
         double pageIndex = numericField(answer, "sheet", -1);
-        if (s.pages == null || !(pageIndex >= 0 && pageIndex < s.sheets)
+        if (s.pages == null || !(pageIndex >= 0 && pageIndex < s.pageCount)
                 || pageIndex != Math.rint(pageIndex)) {
             throw new CorruptedFrameException("page number outside the result");
         }
@@ -460,8 +461,8 @@
                     throw new CorruptedFrameException("page does not consist of whole rows");
                 }
                 s.receivedPages.set((int) pageIndex);
-                s.missing--;
-                front.kept().came(s, (int) pageIndex, answer.body());
+                s.missingPages--;
+                front.keptAnswers().pageReceived(s, (int) pageIndex, answer.body());
             }
             return;
         }
@@ -476,16 +477,16 @@
             throw new CorruptedFrameException("page does not consist of whole rows");
         }
         s.pages[pageIndex] = page.retain();
-        s.bytes += page.readableBytes();
-        front.hold(page.readableBytes());
+        s.resultBytes += page.readableBytes();
+        front.addHeldBytes(page.readableBytes());
         if (s.receivedPages != null) {
             s.receivedPages.set(pageIndex);
-            s.missing--;
-        } else if (s.bytes > limits.answerBytes) {
-            front.log().line("engine result exceeds the size limit", engine);
-            front.closed(s, Outcome.ERROR);
-        } else if (--s.missing == 0) {
-            front.closed(s, Outcome.FINISHED);
+            s.missingPages--;
+        } else if (s.resultBytes > limits.answerBytes) {
+            front.log().warn("engine result exceeds the size limit", engine);
+            front.submissionEnded(s, Outcome.ERROR);
+        } else if (--s.missingPages == 0) {
+            front.submissionEnded(s, Outcome.FINISHED);
         }
     }
 
@@ -512,9 +513,9 @@
         if (cause instanceof IOException) {
             closeReason = String.valueOf(cause.getMessage());
         } else if (cause instanceof DecoderException) {
-            front.log().line("engine connection closed, malformed answer", engine + " " + cause.getMessage());
+            front.log().warn("engine connection closed, malformed answer", engine + " " + cause.getMessage());
         } else {
-            front.log().fault("engine connection closed, fault", cause);
+            front.log().error("engine connection closed, fault", cause);
         }
         ctx.close();
     }
@@ -524,11 +525,11 @@
         retired = true;
         onClosed.accept(this);
         if (!openSubmissions.isEmpty()) {
-            front.log().line(logText, engine + " " + detail);
+            front.log().warn(logText, engine + " " + detail);
         }
         for (Submission s : List.copyOf(openSubmissions.values())) {
-            front.closed(s, s.written ? Outcome.BROKEN : outcome == Outcome.BROKEN ? Outcome.UNREACHABLE
-                    : outcome);
+            front.submissionEnded(s, s.written ? Outcome.BROKEN : outcome == Outcome.BROKEN
+                    ? Outcome.UNREACHABLE : outcome);
         }
     }
 }
--- a/src/main/java/reedspring/net/Engines.java
+++ b/src/main/java/reedspring/net/EngineConnections.java
@@ -15,10 +15,10 @@
 import reedspring.api.Id;
 
 /** Connection pools to all listed engines, with a few connections to each. */
-final class Engines implements SubmissionRunner {
+final class EngineConnections implements SubmissionRunner {
     private final Limits limits;
     private final Front front;
-    private final Rows rowValidator;
+    private final RowValidator rowValidator;
     private final Bootstrap dialer;
     private final Map<Id.Engine, EnginePool> pools = new LinkedHashMap<>();
     /** Pools with at least one connection: bounded by the connection limit, not by the number of engines. */
@@ -38,17 +38,17 @@
         private final List<EngineConnection> connections = new ArrayList<>(0);
     }
 
-    Engines(EventLoop loop, Limits limits, Front front) {
+    EngineConnections(EventLoop loop, Limits limits, Front front) {
         this.limits = limits;
         this.front = front;
-        this.rowValidator = new Rows(limits.pageBytes);
+        this.rowValidator = new RowValidator(limits.pageBytes);
         this.dialer = new Bootstrap().group(loop).channelFactory(FrontSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
                 .option(ChannelOption.TCP_NODELAY, true);
     }
 
     @Override
-    public void listed(Event.Reading reading, List<Host> hosts) {
+    public void enginesListed(Event.ListKind reading, List<Host> hosts) {
         listCount++;
         for (Host host : hosts) {
             Id.Engine id = host.listing().engine();
@@ -66,7 +66,7 @@
                 List.copyOf(pool.connections).forEach(EngineConnection::retire);
             }
         }
-        if (reading != Event.Reading.CHANGES) {
+        if (reading != Event.ListKind.CHANGES) {
             pools.forEach((id, pool) -> {
                 if (pool.lastListedIn != listCount) {
                     pool.up = false;
@@ -83,7 +83,7 @@
     public void send(Id.Engine engine, Submission s) {
         EnginePool pool = pools.get(engine);
         if (pool == null) {
-            front.closed(s, Event.Outcome.UNREACHABLE);
+            front.submissionEnded(s, Event.Outcome.UNREACHABLE);
             return;
         }
         List<EngineConnection> usable = pool.connections.stream().filter(c -> c.accepts(s)).toList();
@@ -92,15 +92,15 @@
         EngineConnection leastLoaded = usable.stream().filter(c -> !c.isUnresponsive())
                 .min(Comparator.comparingInt(EngineConnection::load)).orElse(null);
         boolean belowEngineLimit = pool.connections.size() < limits.engineConnections;
-        if (leastLoaded != null && (leastLoaded.load() < limits.sharedBy || !belowEngineLimit
+        if (leastLoaded != null && (leastLoaded.load() < limits.submissionsPerConnection || !belowEngineLimit
                 || connectionCount >= limits.allEngineConnections)) {
             leastLoaded.send(s);
             return;
         }
         if (leastLoaded == null && !(belowEngineLimit && makeRoom())) {
-            front.log().line("engine connections at their limit", engine.address());
+            front.log().warn("engine connections at their limit", engine.address());
             if (usable.isEmpty()) {
-                front.closed(s, Event.Outcome.UNREACHABLE);
+                front.submissionEnded(s, Event.Outcome.UNREACHABLE);
             } else {
                 usable.get(0).send(s);
             }
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -18,7 +18,7 @@
 import reedspring.api.Event.Outcome;
 import reedspring.api.Id;
 import reedspring.api.Load;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.boot.Times;
 import reedspring.core.policy.QueryLifecycle;
 import reedspring.core.policy.QueryLifecycle.Answer;
@@ -37,13 +37,13 @@
 final class Front {
     private static final Pattern DECIMAL_NUMBER = Pattern.compile("[0-9][0-9.eE+-]{0,31}");
 
-    private final Boot boot;
+    private final DeploymentReader deploymentReader;
     private final Limits limits;
     private final Clock clock;
     private final Log log;
-    private final Turns turns;
+    private final EventLoopTurns turns;
     private final Counters counters = new Counters();
-    private final StallProbe probe;
+    private final StallProbe stallProbe;
     private final Timers timers;
     private final DeadlineMisses deadlineMisses;
     private final SubmissionRunner engines;
@@ -56,45 +56,47 @@
     private Runnable journalReader = () -> { };
     private Runnable listenerCloser = () -> { };
     private AcceptGuard acceptGuard;
-    private KeptAnswers kept;
+    private KeptAnswers keptAnswers;
     private long journalReadAt;
     private final Map<Id.Query, OpenQuery> queriesById = new LinkedHashMap<>();
     private final Map<Long, OpenQuery> queriesByTrace = new HashMap<>();
     private final RecentIds recentTraces;
-    private final ClientRoster roster;
+    private final ClientConnections clientConnections;
     private boolean deciding;
-    private boolean listed;
+    private boolean enginesListed;
     private boolean leaving;
     private long leavingDeadline = Long.MAX_VALUE;
     private long lastQueryId;
     private long heldBytes;
     private long nextLogSummaryAt;
 
-    Front(EventLoop loop, Turns turns, Boot boot, Limits limits, Log log, long seed) {
-        this(loop, turns, boot, limits, log, seed, front -> new Engines(loop, limits, front));
+    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader deploymentReader, Limits limits, Log log,
+          long seed) {
+        this(loop, turns, deploymentReader, limits, log, seed,
+                front -> new EngineConnections(loop, limits, front));
     }
 
     /** @param runner creates the submission runner; must not use the front until the constructor returns */
-    Front(EventLoop loop, Turns turns, Boot boot, Limits limits, Log log, long seed,
-            Function<Front, SubmissionRunner> runner) {
+    Front(EventLoop loop, EventLoopTurns turns, DeploymentReader deploymentReader, Limits limits, Log log,
+          long seed, Function<Front, SubmissionRunner> runner) {
         this.loop = loop;
-        this.boot = boot;
+        this.deploymentReader = deploymentReader;
         this.limits = limits;
         this.clock = new Clock();
         this.log = log;
         this.turns = turns;
-        this.probe = new StallProbe(log, limits.stoodStill);
-        turns.watchedBy(probe);
-        this.timers = new Timers(loop, turns, clock, log, limits, probe);
+        this.stallProbe = new StallProbe(log, limits.stallMs);
+        turns.measureWith(stallProbe);
+        this.timers = new Timers(loop, turns, clock, log, limits, stallProbe);
         this.deadlineMisses = new DeadlineMisses(limits, clock, timers, log);
-        this.roster = new ClientRoster(this, limits);
+        this.clientConnections = new ClientConnections(this, limits);
         this.recentTraces = new RecentIds(limits.recentTraces);
         this.engines = runner.apply(this);
-        this.nextLogSummaryAt = clock.now() + limits.logEvery * 10L;
+        this.nextLogSummaryAt = clock.now() + limits.logIntervalMs * 10L;
         deciding = true;
-        this.control = new Control(seed, boot.deployment(), clock.now(), this::performSafely);
+        this.control = new Control(seed, deploymentReader.deployment(), clock.now(), this::performSafely);
         deciding = false;
-        timers.in(limits.tick * 10L, this::tick);
+        timers.scheduleIn(limits.tickMs * 10L, this::tick);
     }
 
     Clock clock() {
@@ -105,20 +107,20 @@
         return log;
     }
 
-    Turns turns() {
+    EventLoopTurns turns() {
         return turns;
     }
 
-    ClientRoster roster() {
-        return roster;
+    ClientConnections clientConnections() {
+        return clientConnections;
     }
 
     Counters counters() {
         return counters;
     }
 
-    StallProbe probe() {
-        return probe;
+    StallProbe stallProbe() {
+        return stallProbe;
     }
 
     Timers timers() {
@@ -134,12 +136,12 @@
     }
 
     /** Returns the on-disk store of answers, or null if the spool is off. */
-    KeptAnswers kept() {
-        return kept;
+    KeptAnswers keptAnswers() {
+        return keptAnswers;
     }
 
-    void keepsAnswers(KeptAnswers answers) {
-        kept = answers;
+    void setKeptAnswers(KeptAnswers answers) {
+        keptAnswers = answers;
     }
 
     EventLoop loop() {
@@ -151,7 +153,7 @@
      * available, Netty completes the future on another thread, with a channel that was never opened and is
      * therefore never closed.
      */
-    void dialled(ChannelFuture dial, Consumer<ChannelFuture> action) {
+    void onDialComplete(ChannelFuture dial, Consumer<ChannelFuture> action) {
         dial.addListener(done -> {
             if (loop.inEventLoop()) {
                 action.accept(dial);
@@ -169,26 +171,26 @@
     }
 
     /** Returns whether a graceful shutdown has begun. */
-    boolean leaves() {
+    boolean isLeaving() {
         return leaving;
     }
 
     /** Returns whether the front has an engine list and is not shutting down. */
     boolean isReady() {
-        return listed && !leaving;
+        return enginesListed && !leaving;
     }
 
     // ---- engine list from the journal
 
-    void listed(Event.Reading reading, List<Host> hosts) {
-        engines.listed(reading, hosts);
-        listed = true;
+    void enginesListed(Event.ListKind reading, List<Host> hosts) {
+        engines.enginesListed(reading, hosts);
+        enginesListed = true;
         engineEvents.add(new Event.EnginesListed(reading, hosts.stream().map(Host::listing).toList()));
         processEvents();
     }
 
     /** Sets the reader that drains the journal's socket; it may find nothing to read. */
-    void newsFrom(Runnable reader) {
+    void setJournalReader(Runnable reader) {
         journalReader = reader;
     }
 
@@ -199,7 +201,7 @@
      */
     private void readJournal() {
         long now = clock.now();
-        if (now - journalReadAt >= limits.newsAge * 10L) {
+        if (now - journalReadAt >= limits.journalReadAgeMs * 10L) {
             journalReadAt = now;
             journalReader.run();
         }
@@ -212,47 +214,47 @@
      *
      * @return the query, for {@link #startDecisions}, or null if the request was refused and answered here
      */
-    OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Call call, long arrivedAt) {
-        QueryRequest request = QueryRequest.of(call, boot, limits);
-        OpenQuery sameTraceQuery = queriesByTrace.get(request.traceId());
-        String fault = request.fault() != null ? request.fault() : findTraceReuse(request);
-        if (request.fault() != null) {
+    OpenQuery acceptRequest(ClientConnection client, RpcDecoder.Request request, long arrivedAt) {
+        QueryRequest queryRequest = QueryRequest.of(request, deploymentReader, limits);
+        OpenQuery sameTraceQuery = queriesByTrace.get(queryRequest.traceId());
+        String fault = queryRequest.fault() != null ? queryRequest.fault() : findTraceReuse(queryRequest);
+        if (queryRequest.fault() != null) {
             counters.add(RequestRefusal.UNUSABLE);
         }
         if (fault != null) {
-            log.line("request refused", fault);
+            log.warn("request refused", fault);
             if (sameTraceQuery != null && sameTraceQuery.client == client
-                    && sameTraceQuery.trace.equals(request.trace())) {
-                client.closeForReusedId(call.id(), fault);
+                    && sameTraceQuery.trace.equals(queryRequest.trace())) {
+                client.closeForReusedId(request.id(), fault);
             } else {
-                client.sendError(call.id(), fault);
+                client.sendError(request.id(), fault);
             }
             return null;
         }
         if (queriesById.size() >= limits.queries || heldBytes > limits.heldBytes) {
-            recentTraces.add(request.traceId());
+            recentTraces.add(queryRequest.traceId());
             counters.add(RequestRefusal.NO_ROOM);
-            client.turnAway(call.id());
+            client.turnAway(request.id());
             return null;
         }
-        OpenQuery q = createQuery(client, call, request, arrivedAt);
+        OpenQuery q = createQuery(client, request, queryRequest, arrivedAt);
         queriesById.put(q.id, q);
         queriesByTrace.put(q.traceId, q);
         recentTraces.add(q.traceId);
-        hold(q.statement.readableBytes());
-        q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
-        q.taken = new Event.Taken(q.id, request.group(), request.tenant(),
-                StatementScanner.findDataSet(q.statement), Times.nearest(request.estimateMs()),
-                request.needMb(), q.deadline, null);
+        addHeldBytes(q.statement.readableBytes());
+        q.expiryTimer = timers.scheduleAt(q.deadline + limits.fallbackAnswerMs * 10L, () -> failOverdue(q));
+        q.takenEvent = new Event.Taken(q.id, queryRequest.group(), queryRequest.tenant(),
+                StatementScanner.findDataSet(q.statement), Times.nearestTicks(queryRequest.estimateMs()),
+                queryRequest.needMb(), q.deadline, null);
         return q;
     }
 
     /** Records the trace of a request that is turned away; its client must retry under a new one. */
-    void recordTurnedAway(RpcDecoder.Call call) {
-        QueryRequest request = QueryRequest.of(call, boot, limits);
+    void recordTurnedAway(RpcDecoder.Request request) {
+        QueryRequest queryRequest = QueryRequest.of(request, deploymentReader, limits);
         counters.add(RequestRefusal.NO_ROOM);
-        if (request.fault() == null) {
-            recentTraces.add(request.traceId());
+        if (queryRequest.fault() == null) {
+            recentTraces.add(queryRequest.traceId());
         }
     }
 
@@ -273,17 +275,19 @@
         return null;
     }
 
-    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Call call, QueryRequest request,
-                             long arrivedAt) {
-        Deployment.ResourceGroup resourceGroup = boot.deployment().groups().get(request.group().index());
-        OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), call, client, request,
-                Math.min(leavingDeadline, arrivedAt + Times.nearest(request.timeoutMs())),
-                new QueryLifecycle(resourceGroup, boot.deployment().allowed().submissions()));
+    private OpenQuery createQuery(ClientConnection client, RpcDecoder.Request request,
+                                  QueryRequest queryRequest, long arrivedAt) {
+        Deployment.ResourceGroup resourceGroup =
+                deploymentReader.deployment().groups().get(queryRequest.group().index());
+        OpenQuery q = new OpenQuery(new Id.Query(++lastQueryId), request, client, queryRequest,
+                Math.min(leavingDeadline, arrivedAt + Times.nearestTicks(queryRequest.timeoutMs())),
+                new QueryLifecycle(resourceGroup,
+                        deploymentReader.deployment().capabilities().maxSubmissions()));
         q.arrivedAt = arrivedAt;
         q.history.add(Step.TAKEN, null, arrivedAt);
-        q.paged = kept != null && "1".equals(call.fields().get("pages"));
-        if (q.paged) {
-            q.tenant = call.fields().getOrDefault("customer", "");
+        q.wantsPages = keptAnswers != null && "1".equals(request.fields().get("pages"));
+        if (q.wantsPages) {
+            q.tenant = request.fields().getOrDefault("customer", "");
             q.repeatable = resourceGroup.effect() == Deployment.Effect.READ_ONLY
                     || resourceGroup.effect() == Deployment.Effect.TOKENED
                             && resourceGroup.recognised() == Deployment.Recognised.ALL;
@@ -293,7 +297,7 @@
 
     /** Hands a new query to the decisions. */
     void startDecisions(OpenQuery q) {
-        enqueueEvent(q.taken);
+        enqueueEvent(q.takenEvent);
     }
 
     /** Ends a query whose client disconnected or revoked it, or whose connection the front closed. */
@@ -314,7 +318,7 @@
             return;
         }
         if (q.lifecycle.answerIfGivenUp() == Answer.DEFERRED) {
-            defer(q, limits.comeBack * 10L);
+            defer(q, limits.retryAfterMs * 10L);
         } else {
             fail(q, "the connection had to end");
         }
@@ -325,7 +329,7 @@
     /** Fails a query that the decisions have left unanswered past its deadline. */
     private void failOverdue(OpenQuery q) {
         if (!q.answered()) {
-            log.line("query overdue, killed by the front", q.trace);
+            log.warn("query overdue, killed by the front", q.trace);
             fail(q, "no answer in time");
             enqueueEvent(new Event.Left(q.id));
             releaseIfDone(q);
@@ -356,7 +360,7 @@
         }
         if (s.handle != null) {
             q.client.sendFirstPage(q, s);
-        } else if (s.missing == 0) {
+        } else if (s.missingPages == 0) {
             q.client.sendRows(q, List.of(s.pages));
         } else {
             q.client.sendKill(q, "no room for the result");
@@ -378,7 +382,7 @@
     private void recordRefusal(Verdict verdict, OpenQuery q) {
         counters.add(verdict);
         if (verdict.breach()) {
-            log.remark("rule would be broken", "rule would be broken, not done: " + verdict + " " + q.trace
+            log.warnText("rule would be broken", "rule would be broken, not done: " + verdict + " " + q.trace
                     + ": " + q.history.describe());
         }
     }
@@ -388,13 +392,13 @@
         if (q.answered() && q.submission == null && queriesById.remove(q.id) != null) {
             timers.cancel(q.expiryTimer);
             queriesByTrace.remove(q.traceId, q);
-            hold(-q.statement.readableBytes());
+            addHeldBytes(-q.statement.readableBytes());
             q.statement.release();
         }
     }
 
     /** Adds {@code bytes}, which may be negative, to the total of bytes held, which is limited. */
-    void hold(long bytes) {
+    void addHeldBytes(long bytes) {
         heldBytes += bytes;
     }
 
@@ -405,7 +409,7 @@
     }
 
     /** Returns whether the bytes held exceed their limit. */
-    boolean full() {
+    boolean isOverHeldLimit() {
         return heldBytes > limits.heldBytes;
     }
 
@@ -426,14 +430,14 @@
             while (!engineEvents.isEmpty() || !events.isEmpty()) {
                 readJournal();
                 Event next = engineEvents.isEmpty() ? events.poll() : engineEvents.poll();
-                long startedAt = probe.decides();
+                long startedAt = stallProbe.decisionStart();
                 try {
-                    control.on(clock.now(), next, this::performSafely);
+                    control.onEvent(clock.now(), next, this::performSafely);
                 } catch (RuntimeException | Error e) {
                     // The expiry timer still answers the query concerned.
-                    log.fault("a decision failed", e);
+                    log.error("a decision failed", e);
                 }
-                probe.decided(startedAt, next);
+                stallProbe.decided(startedAt, next);
             }
         } finally {
             deciding = false;
@@ -445,7 +449,7 @@
         try {
             perform(action);
         } catch (RuntimeException | Error e) {
-            log.fault("an action failed", e);
+            log.error("an action failed", e);
         }
     }
 
@@ -467,12 +471,12 @@
                 if (s.connection != null) {
                     s.connection.cancel(s);
                 }
-                closed(s, s.written ? Outcome.CANCELLED : Outcome.NOT_SENT);
+                submissionEnded(s, s.written ? Outcome.CANCELLED : Outcome.NOT_SENT);
             }
         } else if (action instanceof Action.Defer defer) {
             OpenQuery q = findUnanswered(defer.query());
             if (q != null) {
-                defer(q, defer.comeBack());
+                defer(q, defer.retryAfter());
                 releaseIfDone(q);
             }
         } else if (action instanceof Action.Kill kill) {
@@ -481,12 +485,12 @@
                 fail(q, "failed");
                 releaseIfDone(q);
             }
-        } else if (action instanceof Action.WakeMe wake) {
-            timers.in(wake.span(), () -> enqueueEvent(new Event.Woken(wake.timer())));
-        } else if (action instanceof Action.Remark remark) {
-            log.remark("decision", remark.text());
+        } else if (action instanceof Action.StartTimer start) {
+            timers.scheduleIn(start.delay(), () -> enqueueEvent(new Event.Woken(start.timer())));
+        } else if (action instanceof Action.LogMessage message) {
+            log.warnText("decision", message.text());
         }
-        // FollowEngines needs no action: the journal is followed from the start.
+        // SubscribeToEngines needs no action: the journal is followed from the start.
     }
 
     private OpenQuery findUnanswered(Id.Query id) {
@@ -498,33 +502,33 @@
         OpenQuery q = queriesById.get(submit.query());
         if (q == null || q.submission != null) {
             counters.add(q == null ? Verdict.QUERY_OVER : Verdict.ATTEMPT_OUT);
-            log.line("submission for a query that is over", Long.toString(submit.query().value()));
+            log.warn("submission for a query that is over", Long.toString(submit.query().value()));
             return;
         }
         long now = clock.now();
         long timeoutAt = submit.timeout() > 0 ? Math.min(q.deadline, now + submit.timeout()) : q.deadline;
-        Submission s = new Submission(q, now, timeoutAt, submit.departBy());
+        Submission s = new Submission(q, now, timeoutAt, submit.latestSendAt());
         q.submission = s;
-        Verdict verdict = q.lifecycle.startAttempt();
+        Verdict verdict = q.lifecycle.startSubmission();
         if (!verdict.allowed()) {
             // The query may have ended since the event under decision, when its client left. Without this end
             // the decisions would count the submission's threads as in use forever.
             recordRefusal(verdict, q);
-            closed(s, Outcome.NOT_SENT);
+            submissionEnded(s, Outcome.NOT_SENT);
             return;
         }
         q.history.add(Step.ATTEMPT_DECIDED, null, now);
-        s.end = timers.at(timeoutAt, () -> endTimedOut(s));
+        s.timeoutTimer = timers.scheduleAt(timeoutAt, () -> endTimedOut(s));
         engines.send(submit.engine(), s);
     }
 
     /** Ends a submission at its timeout; one that was never written cannot have run. */
     private void endTimedOut(Submission s) {
-        closed(s, s.written ? Outcome.TIMED_OUT : Outcome.NOT_SENT);
+        submissionEnded(s, s.written ? Outcome.TIMED_OUT : Outcome.NOT_SENT);
     }
 
     /** Queues a submission whose connection is up; it is sent after this loop iteration's reads. */
-    void departs(Submission s) {
+    void queueForSending(Submission s) {
         sendQueue.add(s);
         if (sendQueue.size() == 1) {
             loop.execute(this::sendQueued);
@@ -542,7 +546,7 @@
                 sendQueued(s);
             } catch (RuntimeException | Error e) {
                 // Its own timeout ends it; the other submissions must still be sent.
-                log.fault("a submission failed", e);
+                log.error("a submission failed", e);
             }
         }
     }
@@ -551,26 +555,26 @@
         readJournal();
         // The client may have closed or revoked during a stall of the loop: its close or revoke then waits
         // behind the request in the socket, as the selector has not reported it yet.
-        boolean clientConnected = s.query.client == null || s.over || s.query.client.there();
-        if (s.over || s.connection == null) {
+        boolean clientConnected = s.query.client == null || s.ended || s.query.client.readAndCheckOpen();
+        if (s.ended || s.connection == null) {
             return;
         }
-        if (!s.connection.there()) {
+        if (!s.connection.checkOpen()) {
             // The engine closed the idle connection. Nothing was written, so use another connection.
             Id.Engine engine = new Id.Engine(s.connection.engine());
-            s.connection.release(s);
+            s.connection.detach(s);
             engines.send(engine, s);
             return;
         }
         // Read the clock again: the checks above may have taken time.
-        Verdict verdict = s.query.lifecycle.send(new SendFacts(clock.now(), s.timeoutAt, s.departBy,
-                clientConnected, s.connection.departable()));
+        Verdict verdict = s.query.lifecycle.send(new SendFacts(clock.now(), s.timeoutAt, s.latestSendAt,
+                clientConnected, s.connection.canSend()));
         if (!verdict.allowed()) {
             withhold(s, verdict);
-        } else if (s.connection.depart(s)) {
+        } else if (s.connection.write(s)) {
             s.query.history.add(Step.SENT, null, clock.now());
         } else {
-            closed(s, Outcome.NOT_SENT);
+            submissionEnded(s, Outcome.NOT_SENT);
         }
     }
 
@@ -578,69 +582,69 @@
         recordRefusal(verdict, s.query);
         s.query.history.add(Step.WITHHELD, verdict, clock.now());
         switch (verdict) {
-            case REPEAT_FORGOTTEN -> log.line("submission withheld, its repeat would no longer be recognised",
+            case REPEAT_FORGOTTEN -> log.warn("submission withheld, its repeat would no longer be recognised",
                     s.query.trace);
-            case ENGINE_NOT_READY -> log.line("submission withheld, engine no longer up",
+            case ENGINE_NOT_READY -> log.warn("submission withheld, engine no longer up",
                     s.connection.engine());
-            case DEADLINE_PASSED -> log.line("submission withheld, its deadline has passed",
+            case DEADLINE_PASSED -> log.warn("submission withheld, its deadline has passed",
                     s.query.trace);
             default -> {
                 // Routine cases, such as a client that has left, are only counted.
             }
         }
-        closed(s, verdict == Verdict.ENGINE_NOT_READY || verdict == Verdict.REPEAT_FORGOTTEN
+        submissionEnded(s, verdict == Verdict.ENGINE_NOT_READY || verdict == Verdict.REPEAT_FORGOTTEN
                 ? Outcome.WITHHELD : Outcome.NOT_SENT);
     }
 
     /** Ends a submission with its outcome; later replies of the engine for it are ignored. */
-    void closed(Submission s, Outcome observed) {
-        if (s.over) {
+    void submissionEnded(Submission s, Outcome observed) {
+        if (s.ended) {
             return;
         }
-        s.over = true;
+        s.ended = true;
         OpenQuery q = s.query;
         q.submission = null;
-        timers.cancel(s.end);
+        timers.cancel(s.timeoutTimer);
         if (s.connection != null) {
             s.connection.drop(s);
         }
         Outcome outcome = observed;
-        if (kept != null) {
-            kept.submissionEnded(s);
+        if (keptAnswers != null) {
+            keptAnswers.submissionEnded(s);
         }
-        q.lifecycle.attemptEnded(outcome.neverRan());
+        q.lifecycle.submissionEnded(outcome.neverRan());
         q.history.add(Step.ATTEMPT_ENDED, outcome, clock.now());
         counters.add(outcome);
         if (outcome == Outcome.FINISHED && !q.answered()) {
             serve(q, s);
         }
         boolean queryOver = q.answered();
-        hold(-s.bytes);
+        addHeldBytes(-s.resultBytes);
         s.release();
         if (s.endedAt == 0) {
-            seenEnd(s);
+            recordEnd(s);
         }
         long duration = s.endedAt - s.sentAt;
         events.add(new Event.Closed(q.id, s.number, outcome, queryOver, duration,
-                Math.min(duration, s.unseen), s.work));
+                Math.min(duration, s.unseenTicks), s.workTicks));
         releaseIfDone(q);
         processEvents();
     }
 
     /** Records the end time, and how much earlier the end may have been if the loop was stalled. */
-    void seenEnd(Submission s) {
+    void recordEnd(Submission s) {
         s.endedAt = clock.now();
-        s.unseen = s.endedAt - timers.earliestArrival();
+        s.unseenTicks = s.endedAt - timers.earliestArrival();
     }
 
     /** Reports the share of a submission's work that its engine says is done. */
-    void progress(Submission s, double share) {
+    void reportProgress(Submission s, double share) {
         enqueueEvent(new Event.ShareDone(s.query.id, s.number, share,
                 clock.now() - timers.earliestArrival()));
     }
 
     /** Parses an engine's load report, such as {@code inflight:7;util:0.61}; invalid fields are ignored. */
-    void reported(String engine, String report) {
+    void loadReported(String engine, String report) {
         Load load = Load.UNKNOWN;
         for (String part : report.split(";", limits.reportFields + 1)) {
             int colon = part.indexOf(':');
@@ -659,32 +663,32 @@
     // ---- time
 
     private void tick() {
-        timers.in(limits.tick * 10L, this::tick);
+        timers.scheduleIn(limits.tickMs * 10L, this::tick);
         long now = clock.now();
         engines.tick(now);
         if (acceptGuard != null) {
             acceptGuard.tick();
         }
-        if (kept != null) {
-            kept.tick();
+        if (keptAnswers != null) {
+            keptAnswers.tick();
         }
-        roster.open().forEach(client -> client.tick(now));
+        clientConnections.openConnections().forEach(client -> client.tick(now));
         if (now >= nextLogSummaryAt) {
-            nextLogSummaryAt = now + limits.logEvery * 10L;
-            tellSums();
+            nextLogSummaryAt = now + limits.logIntervalMs * 10L;
+            logSummary();
         }
     }
 
     /** Logs the suppressed line counts and the counters; also called at the end of a shutdown. */
-    void tellSums() {
-        log.sum();
+    void logSummary() {
+        log.endInterval();
         logCounts();
     }
 
     private void logCounts() {
-        String counts = counters.changes();
+        String counts = counters.changedCounts();
         if (counts != null) {
-            log.once("counts since the start:", counts);
+            log.info("counts since the start:", counts);
         }
     }
 
@@ -700,47 +704,48 @@
         }
         leaving = true;
         long now = clock.now();
-        leavingDeadline = now + limits.leavingLongest * 10L;
-        log.once("leaving,", queriesById.size() + " queries open");
+        leavingDeadline = now + limits.shutdownAnsweredMs * 10L;
+        log.info("leaving,", queriesById.size() + " queries open");
         // The decisions answer waiting queries. Submissions time out by the shutdown deadline, so that the
         // decisions can answer those queries too: only they know whether a retry is safe.
         enqueueEvent(new Event.Leaving(leavingDeadline));
         for (OpenQuery q : List.copyOf(queriesById.values())) {
             q.deadline = Math.min(q.deadline, leavingDeadline);
             timers.cancel(q.expiryTimer);
-            q.expiryTimer = timers.at(q.deadline + limits.lastResort * 10L, () -> failOverdue(q));
+            q.expiryTimer = timers.scheduleAt(q.deadline + limits.fallbackAnswerMs * 10L,
+                    () -> failOverdue(q));
             if (q.submission != null) {
                 Submission s = q.submission;
-                timers.cancel(s.end);
+                timers.cancel(s.timeoutTimer);
                 s.timeoutAt = Math.min(s.timeoutAt, leavingDeadline);
-                s.end = timers.at(s.timeoutAt, () -> endTimedOut(s));
+                s.timeoutTimer = timers.scheduleAt(s.timeoutAt, () -> endTimedOut(s));
             }
         }
-        new Shutdown(this, limits, roster, now).begin(onAllAnswered);
+        new Shutdown(this, limits, clientConnections, now).begin(onAllAnswered);
     }
 
     boolean allAnswered() {
         return queriesById.values().stream().allMatch(OpenQuery::answered);
     }
 
-    void listensBehind(AcceptGuard guard) {
+    void setAcceptGuard(AcceptGuard guard) {
         acceptGuard = guard;
     }
 
     /** Registers a socket anew after the selector missed its readiness to read or write. */
-    void registersAnew(Channel socket) {
-        log.line("socket not known to the selector, registered anew", String.valueOf(socket.remoteAddress()));
+    void reregister(Channel socket) {
+        log.warn("socket not known to the selector, registered anew", String.valueOf(socket.remoteAddress()));
         counters.add(SocketFault.NOT_REGISTERED);
         Registration.renew(socket, turns);
     }
 
     /** Returns whether connections may be waiting in the accept queue while accepting is paused. */
-    boolean mayHoldUnaccepted() {
-        return acceptGuard != null && acceptGuard.rests();
+    boolean mayHaveUnacceptedConnections() {
+        return acceptGuard != null && acceptGuard.paused();
     }
 
     /** Sets the action that closes the listener, run with the end of the last connections. */
-    void atTheEnd(Runnable closer) {
+    void setListenerCloser(Runnable closer) {
         listenerCloser = closer;
     }
 
--- a/src/main/java/reedspring/net/Installation.java
+++ b/src/main/java/reedspring/net/Installation.java
@@ -2,14 +2,14 @@
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
-import reedspring.boot.BootException;
-import reedspring.settings.StandingOrders;
+import reedspring.boot.InvalidConfigurationException;
+import reedspring.settings.InstallationSettings;
 
 /** Starts the optional features that an installation's settings enable, on the front's loop. */
 final class Installation implements Startup.OptionalFeatures {
-    private final StandingOrders settings;
+    private final InstallationSettings settings;
 
-    Installation(StandingOrders settings) {
+    Installation(InstallationSettings settings) {
         this.settings = settings;
     }
 
@@ -19,12 +19,12 @@
     }
 
     @Override
-    public void install(Front front, EventLoop loop, String name) throws BootException {
+    public void install(Front front, EventLoop loop, String name) throws InvalidConfigurationException {
         if (settings.spool() != null) {
             try {
-                front.keepsAnswers(new KeptAnswers(front, loop, name, settings.spool()));
+                front.setKeptAnswers(new KeptAnswers(front, loop, name, settings.spool()));
             } catch (IOException e) {
-                throw new BootException("[spool] folder", String.valueOf(e.getMessage()));
+                throw new InvalidConfigurationException("[spool] folder", String.valueOf(e.getMessage()));
             }
         }
     }
--- a/src/main/java/reedspring/net/Journal.java
+++ b/src/main/java/reedspring/net/Journal.java
@@ -28,9 +28,9 @@
 import java.util.SplittableRandom;
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 import reedspring.core.policy.EngineStartTime;
 
 /**
@@ -47,13 +47,13 @@
     private InetSocketAddress serviceAddress;
     private final Bootstrap dialer;
     private final SplittableRandom random;
-    private Map<Id.Engine, Host> held = new LinkedHashMap<>();
+    private Map<Id.Engine, Host> knownHosts = new LinkedHashMap<>();
     /** Open subscriptions, the newest last. There are several only while none of them has sent anything. */
     private final Deque<Subscription> subscriptions = new ArrayDeque<>();
     /** The number of the last event applied. */
     private long position;
     private long reconnectDelayMs;
-    private Timers.Due reconnectTimer;
+    private Timers.Timer reconnectTimer;
     /** Whether the events missing now have been requested again already. */
     private boolean gapRetried;
     /** The id of the last event that could not be parsed. */
@@ -64,7 +64,7 @@
         this.limits = limits;
         this.serviceAddress = serviceAddress;
         this.random = new SplittableRandom(seed);
-        this.reconnectDelayMs = limits.journalFirstWait;
+        this.reconnectDelayMs = limits.journalMinBackoffMs;
         this.dialer = new Bootstrap().group(loop).channelFactory(FrontSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
     }
@@ -75,7 +75,7 @@
     }
 
     /** Loads the list of engines from the configuration. */
-    void known(Map<?, ?> configured) throws BootException {
+    void loadConfigured(Map<?, ?> configured) throws InvalidConfigurationException {
         for (Object entry : Json.list(configured.get("entries"), "known.entries")) {
             Map<?, ?> event = Json.map(entry, "known.entries");
             if (event.get("hosts") != null) {
@@ -83,27 +83,27 @@
                 applyList(isComplete(list), parseHosts(list, NEVER_RECEIVED));
             }
         }
-        position = Json.whole(configured, "pos", 0);
-        if (position > 0 || !held.isEmpty()) {
-            front.listed(Reading.REMEMBERED, List.copyOf(held.values()));
+        position = Json.wholeNumber(configured, "pos", 0);
+        if (position > 0 || !knownHosts.isEmpty()) {
+            front.enginesListed(ListKind.CACHED, List.copyOf(knownHosts.values()));
         }
     }
 
     /** Moves to another address of the same journal. Events still arriving from the old one are dropped. */
-    void move(InetSocketAddress address) {
+    void changeAddress(InetSocketAddress address) {
         serviceAddress = address;
-        reconnectDelayMs = limits.journalFirstWait;
+        reconnectDelayMs = limits.journalMinBackoffMs;
         List<Subscription> previous = List.copyOf(subscriptions);
         subscriptions.clear();
         previous.forEach(Subscription::close);
-        follow();
+        connect();
     }
 
     /**
      * Opens a subscription. Earlier ones that have not sent anything stay open until one of them does: a
      * service that responds later than this front's timeout would otherwise be dropped on every try.
      */
-    void follow() {
+    void connect() {
         front.timers().cancel(reconnectTimer);
         reconnectTimer = null;
         if (subscriptions.size() >= MAX_SUBSCRIPTIONS) {
@@ -118,24 +118,24 @@
     private void reconnectLater() {
         if (reconnectTimer == null) {
             long delay = reconnectDelayMs * 5 + random.nextLong(reconnectDelayMs * 5 + 1);
-            reconnectDelayMs = Math.min(limits.journalLongestWait, reconnectDelayMs * 2);
-            reconnectTimer = front.timers().in(delay, this::follow);
+            reconnectDelayMs = Math.min(limits.journalMaxBackoffMs, reconnectDelayMs * 2);
+            reconnectTimer = front.timers().scheduleIn(delay, this::connect);
         }
     }
 
     /** One subscription to the journal's event stream, from connecting to closing. */
     private final class Subscription extends ChannelInboundHandlerAdapter {
         private final SocketReads socketReads = new SocketReads();
-        private final EventStream events = new EventStream(limits.journalBytes, limits.journalPart,
-                new EventStream.Reader() {
+        private final EventStream events = new EventStream(limits.maxJournalEventBytes,
+                limits.journalActivityBytes, new EventStream.Listener() {
                     @Override
-                    public void read(String id, byte[] data, int length) {
+                    public void event(String id, byte[] data, int length) {
                         onEvent(id, data, length);
                     }
 
                     @Override
-                    public void tooLong(String id, long bytes) {
-                        skipOversized("journal event too long, ignored", bytes, limits.journalBytes);
+                    public void eventTooLong(String id, long bytes) {
+                        skipOversized("journal event too long, ignored", bytes, limits.maxJournalEventBytes);
                     }
                 });
         private Channel channel;
@@ -154,14 +154,14 @@
             }).connect(serviceAddress);
             channel = connecting.channel();
             channel.closeFuture().addListener(closed -> onClosed());
-            front.dialled(connecting, this::onDialled);
+            front.onDialComplete(connecting, this::onDialled);
             scheduleSilenceCheck();
         }
 
         private void onDialled(ChannelFuture future) {
             if (!future.isSuccess()) {
                 if (subscriptions.contains(this)) {
-                    front.log().line("journal unreachable", String.valueOf(future.cause().getMessage()));
+                    front.log().warn("journal unreachable", String.valueOf(future.cause().getMessage()));
                 }
                 onClosed();
                 return;
@@ -181,16 +181,16 @@
          * the service.
          */
         private void scheduleSilenceCheck() {
-            long timeout = (connected ? limits.journalSilence : limits.journalConnect) * 10L;
-            front.timers().at(lastReceivedAt + timeout, () -> {
+            long timeout = (connected ? limits.journalSilenceMs : limits.journalConnectMs) * 10L;
+            front.timers().scheduleAt(lastReceivedAt + timeout, () -> {
                 if (!subscriptions.contains(this)) {
                     return;
                 }
                 long silentFor = front.clock().now() - lastReceivedAt;
-                if (silentFor < (connected ? limits.journalSilence : limits.journalConnect) * 10L) {
+                if (silentFor < (connected ? limits.journalSilenceMs : limits.journalConnectMs) * 10L) {
                     scheduleSilenceCheck();
                 } else if (subscriptions.peekLast() == this) {
-                    front.log().line("journal silent, reconnecting", "");
+                    front.log().warn("journal silent, reconnecting", "");
                     reconnectLater();
                 }
             });
@@ -230,7 +230,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            front.probe().is("journal event");
+            front.stallProbe().nameWork("journal event");
             if (!subscriptions.contains(this) || !channel.isOpen()) {
                 // Closed after a change of address or after an event that could not be used.
                 ReferenceCountUtil.release(message);
@@ -239,14 +239,14 @@
             reading = true;
             try {
                 if (message instanceof HttpObject part && part.decoderResult().isFailure()) {
-                    front.log().line("journal response malformed", part.decoderResult().toString());
+                    front.log().warn("journal response malformed", part.decoderResult().toString());
                     ctx.close();
                     return;
                 }
                 if (message instanceof HttpResponse response) {
                     accepted = response.status().code() == 200;
                     if (!accepted) {
-                        front.log().line("journal refused the subscription", response.status().toString());
+                        front.log().warn("journal refused the subscription", response.status().toString());
                         ctx.close();
                         return;
                     }
@@ -271,11 +271,11 @@
             }
             try {
                 if (Journal.this.handleEvent(id, data, length, lastReceivedAt)) {
-                    reconnectDelayMs = limits.journalFirstWait;
+                    reconnectDelayMs = limits.journalMinBackoffMs;
                 } else {
                     channel.close();
                 }
-            } catch (IOException | BootException e) {
+            } catch (IOException | InvalidConfigurationException e) {
                 onMalformedEvent(id, e.getMessage());
                 channel.close();
             }
@@ -284,16 +284,16 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (accepted && subscriptions.contains(this)) {
-                front.log().line("journal stream ended, reconnecting", "");
+                front.log().warn("journal stream ended, reconnecting", "");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof IOException) {
-                front.log().line("journal stream lost", String.valueOf(cause.getMessage()));
+                front.log().warn("journal stream lost", String.valueOf(cause.getMessage()));
             } else {
-                front.log().fault("journal stream closed, fault", cause);
+                front.log().error("journal stream closed, fault", cause);
             }
             ctx.close();
         }
@@ -306,10 +306,11 @@
      * @param lastReceived when the subscription had last received anything before this event
      */
     private boolean handleEvent(String id, byte[] data, int length, long lastReceived) throws IOException,
-            BootException {
+            InvalidConfigurationException {
         HostRow.Reader rowReader = new HostRow.Reader(limits.engines);
         Map<?, ?> event = Json.map(Json.read(data, length, "hosts.hosts", rowReader), "event");
-        long eventNumber = id.isEmpty() ? Json.whole(event, "pos", 0) : Json.whole(Map.of("id", id), "id", 0);
+        long eventNumber = id.isEmpty() ? Json.wholeNumber(event, "pos", 0)
+                : Json.wholeNumber(Map.of("id", id), "id", 0);
         if (eventNumber <= position) {
             return true;
         }
@@ -320,7 +321,7 @@
         Map<?, ?> list = event.get("hosts") == null ? null : Json.map(event.get("hosts"), "hosts");
         boolean complete = list != null && isComplete(list);
         if (eventNumber > position + 1 && !complete) {
-            front.log().line("journal events missing", position + " to " + eventNumber);
+            front.log().warn("journal events missing", position + " to " + eventNumber);
             if (!gapRetried) {
                 gapRetried = true;
                 return false;
@@ -332,7 +333,7 @@
         position = eventNumber;
         if (list != null) {
             applyList(complete, hosts);
-            front.listed(complete ? Reading.COMPLETE : Reading.CHANGES, List.copyOf(hosts.values()));
+            front.enginesListed(complete ? ListKind.COMPLETE : ListKind.CHANGES, List.copyOf(hosts.values()));
         }
         return true;
     }
@@ -342,10 +343,10 @@
         boolean repeated = !id.isEmpty() && id.equals(lastMalformedId);
         lastMalformedId = id;
         if (!repeated) {
-            front.log().line("journal event malformed, reconnecting", reason);
+            front.log().warn("journal event malformed, reconnecting", reason);
             return;
         }
-        front.log().line("journal event malformed again, skipped", reason);
+        front.log().warn("journal event malformed again, skipped", reason);
         try {
             position = Math.max(position, Long.parseLong(id));
         } catch (NumberFormatException e) {
@@ -355,23 +356,23 @@
 
     /** Keeps the current list. Requesting the event again would only return the same event. */
     private void skipOversized(String logText, long size, long limit) {
-        front.log().line(logText, size + " of " + limit);
+        front.log().warn(logText, size + " of " + limit);
         gapRetried = true;
     }
 
     /** Updates the list; engines absent from a complete list are removed. Engine names are never reused. */
     private void applyList(boolean complete, Map<Id.Engine, Host> hosts) {
         if (complete) {
-            held = new LinkedHashMap<>();
+            knownHosts = new LinkedHashMap<>();
         }
-        if (held.size() + hosts.size() > limits.engines) {
+        if (knownHosts.size() + hosts.size() > limits.engines) {
             dropExcess(hosts);
         }
         hosts.forEach((id, host) -> {
             if (isGone(host)) {
-                held.remove(id);
+                knownHosts.remove(id);
             } else {
-                held.put(id, host);
+                knownHosts.put(id, host);
             }
         });
     }
@@ -382,8 +383,8 @@
     }
 
     /** The number of engines in the list. */
-    int held() {
-        return held.size();
+    int knownHosts() {
+        return knownHosts.size();
     }
 
     private static boolean isComplete(Map<?, ?> list) {
@@ -393,11 +394,11 @@
     /** Drops engines that are not in the list yet and would exceed the limit. */
     private void dropExcess(Map<Id.Engine, Host> hosts) {
         int listed = hosts.size();
-        int[] room = {limits.engines - held.size()};
-        hosts.values().removeIf(host -> !isGone(host) && !held.containsKey(host.listing().engine())
+        int[] room = {limits.engines - knownHosts.size()};
+        hosts.values().removeIf(host -> !isGone(host) && !knownHosts.containsKey(host.listing().engine())
                 && --room[0] < 0);
         if (hosts.size() < listed) {
-            front.log().line("engines at their limit, left out", listed - hosts.size() + " of " + listed);
+            front.log().warn("engines at their limit, left out", listed - hosts.size() + " of " + listed);
         }
     }
 
@@ -406,11 +407,12 @@
     }
 
     /** Engines by name; if a name occurs twice, only the last entry counts. */
-    private Map<Id.Engine, Host> parseHosts(Map<?, ?> list, long lastReceived) throws BootException {
+    private Map<Id.Engine, Host> parseHosts(Map<?, ?> list, long lastReceived)
+            throws InvalidConfigurationException {
         Map<Id.Engine, Host> hosts = new LinkedHashMap<>();
         for (Object entry : Json.list(list.get("hosts"), "hosts")) {
             if (!(entry instanceof HostRow row)) {
-                throw new BootException("hosts", "contains an element that is not an object");
+                throw new InvalidConfigurationException("hosts", "contains an element that is not an object");
             }
             hosts.put(row.engine(), new Host(new Event.Listing(row.engine(), row.kind(), row.zone(),
                     row.cell(), row.health(), startedAt(row, lastReceived)), row.address(),
@@ -421,11 +423,11 @@
 
     /** An unchanged start time keeps its first conversion, even if the system clock was changed since. */
     private long startedAt(HostRow row, long lastReceived) {
-        Host previous = held.get(row.engine());
+        Host previous = knownHosts.get(row.engine());
         if (previous != null && previous.startedAtUnixMs() == row.startedAtUnixMs()) {
             return previous.listing().startedAt();
         }
-        long estimate = front.clock().ofUnixMs(row.startedAtUnixMs());
+        long estimate = front.clock().engineStartFromUnixMs(row.startedAtUnixMs());
         return estimate == 0 ? 0 : EngineStartTime.ofNewEngine(estimate, lastReceived);
     }
 }
--- a/src/main/java/reedspring/net/KeptAnswers.java
+++ b/src/main/java/reedspring/net/KeptAnswers.java
@@ -11,42 +11,42 @@
 import java.util.Map;
 import reedspring.api.Event.Outcome;
 import reedspring.api.Id;
-import reedspring.settings.StandingOrders.SpoolOrders;
+import reedspring.settings.InstallationSettings.SpoolSettings;
 import reedspring.spool.AnswerId;
 import reedspring.spool.Handle;
-import reedspring.spool.Handles;
+import reedspring.spool.HandleCodec;
 import reedspring.spool.Spool;
-import reedspring.spool.Step;
-import reedspring.spool.Terms;
-import reedspring.spool.Word;
+import reedspring.spool.SpoolAction;
+import reedspring.spool.SpoolEvent;
+import reedspring.spool.SpoolLimits;
 import reedspring.spool.store.FileDisk;
-import reedspring.spool.store.Keeper;
-import reedspring.spool.store.Store;
+import reedspring.spool.store.SegmentStore;
+import reedspring.spool.store.StoreWorker;
 
 /**
  * Connects the spool, which keeps answers on disk, to the front. Delivers what engines and clients send to
- * the spool, and performs the steps that it asks for, on the loop or by its disk threads. Confined to the
+ * the spool, and performs the actions that it decides on, on the loop or by its disk threads. Confined to the
  * event loop, except {@link #close}.
  */
-final class KeptAnswers implements Keeper.Listener {
+final class KeptAnswers implements StoreWorker.Listener {
     private static final String UNKNOWN_HANDLE = "no such handle";
 
     private final Front front;
-    private final Terms terms;
+    private final SpoolLimits limits;
     private final Spool spool;
-    private final Keeper keeper;
-    private final Handles handles;
+    private final StoreWorker storeWorker;
+    private final HandleCodec handles;
     private final Map<Id.Query, Submission> submissionsByQuery = new HashMap<>();
     private final Map<AnswerId, Submission> submissionsByAnswer = new HashMap<>();
     private final Map<Long, PageRead> pageReads = new HashMap<>();
-    /** Words for the spool; one that arrives while another is being processed is queued. */
-    private final ArrayDeque<QueuedWord> queuedWords = new ArrayDeque<>();
+    /** Events for the spool; one that arrives while another is being processed is queued. */
+    private final ArrayDeque<QueuedEvent> queuedEvents = new ArrayDeque<>();
     private boolean delivering;
     private ByteBuffer currentPageText;
     private long lastReadId;
 
-    /** A word for the spool, with the text of the page if it brings one, else null. */
-    private record QueuedWord(Word word, ByteBuffer text) {
+    /** An event for the spool, with the text of the page if it has one, else null. */
+    private record QueuedEvent(SpoolEvent event, ByteBuffer text) {
     }
 
     /** A client's request for a page, until it is answered. */
@@ -54,41 +54,41 @@
     }
 
     /** Opens the spool folder. The disk threads scan it in the background; no answer is kept until then. */
-    KeptAnswers(Front front, EventLoop loop, String name, SpoolOrders orders) throws IOException {
+    KeptAnswers(Front front, EventLoop loop, String name, SpoolSettings settings) throws IOException {
         this.front = front;
-        this.terms = orders.terms();
-        this.handles = new Handles(name, orders.keys());
+        this.limits = settings.limits();
+        this.handles = new HandleCodec(name, settings.keys());
         SecureRandom random = new SecureRandom();
-        this.spool = new Spool(terms, random::nextLong);
-        this.keeper = new Keeper(new Store(new FileDisk(orders.folder(), true), name, terms.pageBytes()),
-                loop,
-                this, orders.group());
-        keeper.start();
+        this.spool = new Spool(limits, random::nextLong);
+        this.storeWorker = new StoreWorker(
+                new SegmentStore(new FileDisk(settings.folder(), true), name, limits.pageBytes()), loop,
+                this, settings.groupCommitTicks());
+        storeWorker.start();
     }
 
     /** Stops the disk threads once queued writes are done; must not be called on the loop. */
     boolean close(long timeoutMs) throws InterruptedException {
-        return keeper.close(timeoutMs);
+        return storeWorker.close(timeoutMs);
     }
 
     void tick() {
-        deliver(new Word.Tick());
+        deliver(new SpoolEvent.Tick());
     }
 
-    private void deliver(Word word) {
-        deliver(word, null);
+    private void deliver(SpoolEvent event) {
+        deliver(event, null);
     }
 
-    private void deliver(Word word, ByteBuffer text) {
-        queuedWords.add(new QueuedWord(word, text));
+    private void deliver(SpoolEvent event, ByteBuffer text) {
+        queuedEvents.add(new QueuedEvent(event, text));
         if (delivering) {
             return;
         }
         delivering = true;
         try {
-            for (QueuedWord next = queuedWords.poll(); next != null; next = queuedWords.poll()) {
+            for (QueuedEvent next = queuedEvents.poll(); next != null; next = queuedEvents.poll()) {
                 currentPageText = next.text();
-                spool.on(front.clock().now(), next.word(), this::performStep);
+                spool.onEvent(front.clock().now(), next.event(), this::performAction);
             }
         } finally {
             currentPageText = null;
@@ -99,29 +99,29 @@
     // ---- engines
 
     /** Offers an answer to the spool once its engine has sent the page count and the first page. */
-    void begin(Submission s) {
+    void offerAnswer(Submission s) {
         OpenQuery q = s.query;
         submissionsByQuery.put(q.id, s);
-        deliver(new Word.Began(q.id, q.tenant, q.repeatable, s.sheets));
+        deliver(new SpoolEvent.AnswerAnnounced(q.id, q.tenant, q.repeatable, s.pageCount));
     }
 
     /** Passes a page of an answer to the spool, if it keeps that answer. */
-    void came(Submission s, int page, ByteBuf text) {
-        if (s.kept == null) {
+    void pageReceived(Submission s, int page, ByteBuf text) {
+        if (s.keptAnswerId == null) {
             return;
         }
         // The loop may reuse the buffer, so the writer thread gets a copy.
         ByteBuffer copy = ByteBuffer.allocate(text.readableBytes());
         text.getBytes(text.readerIndex(), copy);
         copy.flip();
-        deliver(new Word.PageCame(s.kept, page, copy.remaining()), copy);
+        deliver(new SpoolEvent.PageReceived(s.keptAnswerId, page, copy.remaining()), copy);
     }
 
     /** Ends a submission, whether or not its answer is kept. */
     void submissionEnded(Submission s) {
         submissionsByQuery.remove(s.query.id, s);
-        if (s.kept != null && submissionsByAnswer.remove(s.kept) != null) {
-            deliver(new Word.QueryOver(s.kept));
+        if (s.keptAnswerId != null && submissionsByAnswer.remove(s.keptAnswerId) != null) {
+            deliver(new SpoolEvent.QueryEnded(s.keptAnswerId));
         }
     }
 
@@ -141,7 +141,7 @@
         }
         long readId = ++lastReadId;
         pageReads.put(readId, new PageRead(client, messageId, handle, page));
-        deliver(new Word.Asked(readId, handle, page));
+        deliver(new SpoolEvent.PageRequested(readId, handle, page));
     }
 
     void release(ClientConnection client, long messageId, Map<String, String> fields) {
@@ -150,80 +150,80 @@
             client.sendError(messageId, UNKNOWN_HANDLE);
             return;
         }
-        deliver(new Word.Released(handle));
+        deliver(new SpoolEvent.AnswerReleased(handle));
         client.confirmRelease(messageId);
     }
 
     private Handle readHandle(Map<String, String> fields) {
         String text = fields.get("handle");
         String tenant = fields.get("customer");
-        return text == null || tenant == null ? null : handles.read(text, tenant);
-    }
-
-    // ---- what the spool asks for
-
-    /** Performs a step that the spool asks for. */
-    private void performStep(Step step) {
-        if (step instanceof Step.Take take) {
-            Submission s = submissionsByQuery.get(take.query());
-            s.kept = take.answer();
-            submissionsByAnswer.put(take.answer(), s);
-            came(s, 0, s.pages[0]);
-        } else if (step instanceof Step.Refuse refuse) {
-            front.log().line("answer not kept", refuse.why());
-            endNotKept(submissionsByQuery.get(refuse.query()));
-        } else if (step instanceof Step.Lost lost) {
-            front.log().line("answer not kept", lost.why());
-            Submission s = submissionsByAnswer.remove(lost.answer());
+        return text == null || tenant == null ? null : handles.decode(text, tenant);
+    }
+
+    // ---- actions of the spool
+
+    /** Performs an action that the spool has decided on. */
+    private void performAction(SpoolAction action) {
+        if (action instanceof SpoolAction.AcceptAnswer accepted) {
+            Submission s = submissionsByQuery.get(accepted.query());
+            s.keptAnswerId = accepted.answer();
+            submissionsByAnswer.put(accepted.answer(), s);
+            pageReceived(s, 0, s.pages[0]);
+        } else if (action instanceof SpoolAction.RefuseAnswer refused) {
+            front.log().warn("answer not kept", refused.reason());
+            endNotKept(submissionsByQuery.get(refused.query()));
+        } else if (action instanceof SpoolAction.FailAnswer failed) {
+            front.log().warn("answer not kept", failed.reason());
+            Submission s = submissionsByAnswer.remove(failed.answer());
             endNotKept(s);
-        } else if (step instanceof Step.AskPage ask) {
-            Submission s = submissionsByAnswer.get(ask.answer());
+        } else if (action instanceof SpoolAction.FetchPage fetch) {
+            Submission s = submissionsByAnswer.get(fetch.answer());
             if (s != null) {
-                s.connection.more(s, ask.page());
+                s.connection.requestPage(s, fetch.page());
             }
-        } else if (step instanceof Step.Kept kept) {
-            endKept(kept);
-        } else if (step instanceof Step.Say say) {
-            answerFailedRead(say);
-        } else if (step instanceof Step.Remark remark) {
-            front.log().remark("spool", remark.text());
+        } else if (action instanceof SpoolAction.CompleteAnswer completed) {
+            endKept(completed);
+        } else if (action instanceof SpoolAction.RejectRead rejected) {
+            answerFailedRead(rejected);
+        } else if (action instanceof SpoolAction.LogMessage message) {
+            front.log().warnText("spool", message.text());
         } else {
-            keeper.accept(step, step instanceof Step.Write ? currentPageText : null);
+            storeWorker.accept(action, action instanceof SpoolAction.WritePage ? currentPageText : null);
         }
     }
 
     /** Ends a submission whose answer could not be kept. */
     private void endNotKept(Submission s) {
         if (s != null) {
-            s.kept = null;
-            front.closed(s, Outcome.NOT_KEPT);
+            s.keptAnswerId = null;
+            front.submissionEnded(s, Outcome.NOT_KEPT);
         }
     }
 
     /** Ends a submission whose answer is complete on disk, and creates its handle. */
-    private void endKept(Step.Kept kept) {
+    private void endKept(SpoolAction.CompleteAnswer kept) {
         Submission s = submissionsByAnswer.remove(kept.answer());
         if (s != null) {
             OpenQuery q = s.query;
-            s.handle = handles.write(new Handle(kept.answer(), q.tenant, q.repeatable, kept.expiresAt()));
+            s.handle = handles.encode(new Handle(kept.answer(), q.tenant, q.repeatable, kept.expiresAt()));
             s.keptForMs = (kept.expiresAt() - front.clock().now()) / 10;
-            front.closed(s, Outcome.FINISHED);
+            front.submissionEnded(s, Outcome.FINISHED);
         }
     }
 
     /** Answers a client's request for a page that can't be read. */
-    private void answerFailedRead(Step.Say say) {
-        PageRead pageRead = pageReads.remove(say.reader());
-        String reasonText = switch (say.reason()) {
+    private void answerFailedRead(SpoolAction.RejectRead rejected) {
+        PageRead pageRead = pageReads.remove(rejected.readId());
+        String reasonText = switch (rejected.reason()) {
             case EXPIRED -> "the answer has expired";
             case GONE -> "the answer is not kept any more";
-            case DAMAGED -> "the answer can't be read any more";
+            case CORRUPT -> "the answer can't be read any more";
             case NO_SUCH_PAGE -> "no such page";
             case BUSY -> "too many pages are being read";
         };
-        if (say.reason() == Step.Reason.BUSY) {
-            pageRead.client().deferPageRead(pageRead.messageId(), say.comeBack() / 10, reasonText);
-        } else if (say.reason() != Step.Reason.NO_SUCH_PAGE && pageRead.handle().repeatable()) {
+        if (rejected.reason() == SpoolAction.Reason.BUSY) {
+            pageRead.client().deferPageRead(pageRead.messageId(), rejected.retryAfter() / 10, reasonText);
+        } else if (rejected.reason() != SpoolAction.Reason.NO_SUCH_PAGE && pageRead.handle().repeatable()) {
             pageRead.client().shedPageRead(pageRead.messageId(), reasonText);
         } else {
             pageRead.client().failPageRead(pageRead.messageId(), reasonText);
@@ -231,16 +231,16 @@
     }
 
     @Override
-    public void word(Word word) {
+    public void onEvent(SpoolEvent event) {
         try {
-            deliver(word);
+            deliver(event);
         } catch (RuntimeException | Error e) {
-            front.log().fault("spool failed", e);
+            front.log().error("spool failed", e);
         }
     }
 
     @Override
-    public void page(long readId, ByteBuffer text) {
+    public void onPage(long readId, ByteBuffer text) {
         PageRead pageRead = pageReads.remove(readId);
         if (pageRead != null) {
             pageRead.client().sendPage(pageRead.messageId(), pageRead.page(), Unpooled.wrappedBuffer(text));
--- a/src/main/java/reedspring/net/QueryRequest.java
+++ b/src/main/java/reedspring/net/QueryRequest.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import reedspring.api.Id;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 
 /**
  * A client's request to run a query, parsed and validated. If {@link #fault} is not null, the request is
@@ -25,17 +25,17 @@
     private static final int HEX_RADIX = 16;
 
     /** Parses a request's fields and validates them against the deployment and the limits. */
-    static QueryRequest of(RpcDecoder.Call call, Boot boot, Limits limits) {
-        Map<String, String> fields = call.fields();
+    static QueryRequest of(RpcDecoder.Request request, DeploymentReader deploymentReader, Limits limits) {
+        Map<String, String> fields = request.fields();
         String trace = fields.get("trace");
         boolean validTrace = trace != null && TRACE_PATTERN.matcher(trace).matches();
-        QueryRequest request = new QueryRequest(boot.group(call.method()),
-                boot.tenant(fields.get("customer")), parseNumber(fields, "patience"),
+        QueryRequest queryRequest = new QueryRequest(deploymentReader.group(request.method()),
+                deploymentReader.tenant(fields.get("customer")), parseNumber(fields, "patience"),
                 parseNumber(fields, "weight"), parseNumber(fields, "need_mb"), trace,
                 validTrace ? Long.parseUnsignedLong(trace, HEX_RADIX) : 0, fields.get("nonce"), null);
-        String fault = validTrace ? request.findFault(call, boot, limits)
-                : request.group == null ? "no such method" : "trace: 16 hex digits are wanted";
-        return fault == null ? request : request.withFault(fault);
+        String fault = validTrace ? queryRequest.findFault(request, deploymentReader, limits)
+                : queryRequest.group == null ? "no such method" : "trace: 16 hex digits are wanted";
+        return fault == null ? queryRequest : queryRequest.withFault(fault);
     }
 
     private QueryRequest withFault(String fault) {
@@ -44,26 +44,26 @@
     }
 
     /** Returns why the request is invalid, or null; for a request with a valid trace. */
-    private String findFault(RpcDecoder.Call call, Boot boot, Limits limits) {
+    private String findFault(RpcDecoder.Request request, DeploymentReader deploymentReader, Limits limits) {
         if (group == null) {
             return "no such method";
         }
-        if (!(timeoutMs <= limits.longestPatience) || !call.fields().containsKey("patience")) {
+        if (!(timeoutMs <= limits.maxPatienceMs) || !request.fields().containsKey("patience")) {
             return "patience: milliseconds are wanted";
         }
-        if (!(estimateMs <= limits.largestEstimate)) {
+        if (!(estimateMs <= limits.maxEstimate)) {
             return "weight: milliseconds are wanted";
         }
-        if (!(needMb <= limits.largestEstimate)) {
+        if (!(needMb <= limits.maxEstimate)) {
             return "need_mb: megabytes are wanted";
         }
-        if (tenant == Id.Tenant.NOBODY && !boot.deployment().tenants().isEmpty()) {
+        if (tenant == Id.Tenant.UNKNOWN && !deploymentReader.deployment().tenants().isEmpty()) {
             return "no such customer";
         }
         if (repeatToken != null && !REPEAT_TOKEN_PATTERN.matcher(repeatToken).matches()) {
             return "nonce: letters, digits and ._:/+- are wanted, 128 at most";
         }
-        return call.body() == null ? "the body is missing" : null;
+        return request.body() == null ? "the body is missing" : null;
     }
 
     /** Parses a non-negative decimal number; 0 if the field is absent, NaN if it is not a number. */
--- a/src/main/java/reedspring/net/RpcDecoder.java
+++ b/src/main/java/reedspring/net/RpcDecoder.java
@@ -55,7 +55,7 @@
      * @param body the statement, which the receiver must release; may be null
      * @param fault why the request is invalid, or null
      */
-    record Call(long id, String method, Map<String, String> fields, ByteBuf body, String fault) {
+    record Request(long id, String method, Map<String, String> fields, ByteBuf body, String fault) {
     }
 
     /** A notification; {@code id} is its first parameter, or -1. */
@@ -88,7 +88,7 @@
             throw new TooLongFrameException("message exceeds " + limits.messageBytes + " bytes");
         }
         if (!complete) {
-            if (!updatePartialBytes(in.readableBytes()) && in.readableBytes() > limits.smallMessage) {
+            if (!updatePartialBytes(in.readableBytes()) && in.readableBytes() > limits.smallMessageBytes) {
                 refuseRequest(in);
             }
             return;
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Skips {@code count} values; returns false if they are incomplete. A message that arrives in pieces is
-     * measured again with each piece, which the limit on values keeps cheap.
+     * Skips {@code count} values; returns false if they are incomplete. A message that arrives in parts is
+     * measured again with each part, which the limit on values keeps cheap.
      */
     private boolean skipValues(ByteBuf in, long count) {
         for (long valuesLeft = count; valuesLeft > 0; valuesLeft--) {
@@ -256,15 +256,15 @@
         }
         String method = size == REQUEST_ELEMENTS ? readText(in) : null;
         if (method == null) {
-            return new Call(id, "", Map.of(), null, "a request is [0, id, method, params]");
+            return new Request(id, "", Map.of(), null, "a request is [0, id, method, params]");
         }
         int params = readArrayHeader(in);
         Map<String, String> fields = params >= 1 ? readFields(in) : null;
         if (fields == null) {
-            return new Call(id, method, Map.of(), null, "no map of fields, text to text");
+            return new Request(id, method, Map.of(), null, "no map of fields, text to text");
         }
         ByteBuf body = params >= 2 ? readBinary(in) : null;
-        return new Call(id, method, fields, body == null ? null : body.retain(), null);
+        return new Request(id, method, fields, body == null ? null : body.retain(), null);
     }
 
     private int readArrayHeader(ByteBuf in) {
--- a/src/main/java/reedspring/net/Shutdown.java
+++ b/src/main/java/reedspring/net/Shutdown.java
@@ -14,16 +14,16 @@
 
     private final Front front;
     private final Limits limits;
-    private final ClientRoster roster;
+    private final ClientConnections clientConnections;
     private final long startedAt;
     private Runnable onComplete;
     private long acceptedAtLastCheck;
 
     /** @param startedAt when the front was told to stop */
-    Shutdown(Front front, Limits limits, ClientRoster roster, long startedAt) {
+    Shutdown(Front front, Limits limits, ClientConnections clientConnections, long startedAt) {
         this.front = front;
         this.limits = limits;
-        this.roster = roster;
+        this.clientConnections = clientConnections;
         this.startedAt = startedAt;
     }
 
@@ -35,32 +35,32 @@
 
     private void check() {
         long elapsedTicks = front.clock().now() - startedAt;
-        boolean acceptedMore = roster.accepted() != acceptedAtLastCheck;
-        acceptedAtLastCheck = roster.accepted();
-        if (elapsedTicks < limits.leavingQuiet * 10L
-                || !front.allAnswered() && elapsedTicks < limits.leavingLongest * 10L
-                + limits.lastResort * 20L) {
+        boolean acceptedMore = clientConnections.acceptedCount() != acceptedAtLastCheck;
+        acceptedAtLastCheck = clientConnections.acceptedCount();
+        if (elapsedTicks < limits.shutdownQuietMs * 10L
+                || !front.allAnswered() && elapsedTicks < limits.shutdownAnsweredMs * 10L
+                + limits.fallbackAnswerMs * 20L) {
             checkLater();
             return;
         }
-        List<ClientConnection> open = roster.open();
+        List<ClientConnection> open = clientConnections.openConnections();
         // Requests can arrive only on connections that are still open. What is unread there is accepted.
-        open.forEach(ClientConnection::there);
+        open.forEach(ClientConnection::readAndCheckOpen);
         // One loop turn accepts a limited number of connections and reads only part of a long request. After
         // a stall of the loop the others still wait in the accept queue, which closing the listener resets.
-        boolean mayHoldMore = acceptedMore || front.mayHoldUnaccepted()
-                || open.stream().anyMatch(ClientConnection::midway);
-        if ((mayHoldMore || !front.allAnswered()) && elapsedTicks < limits.leavingLongest * 10L) {
+        boolean mayHoldMore = acceptedMore || front.mayHaveUnacceptedConnections()
+                || open.stream().anyMatch(ClientConnection::hasPartialMessage);
+        if ((mayHoldMore || !front.allAnswered()) && elapsedTicks < limits.shutdownAnsweredMs * 10L) {
             checkLater();
             return;
         }
         front.closeListener();
-        roster.open().forEach(client -> client.shut(CloseReason.FRONT_ENDS));
-        awaitClients(front.clock().now(), startedAt + limits.leavingGone * 10L);
+        clientConnections.openConnections().forEach(client -> client.closeGracefully(CloseReason.FRONT_ENDS));
+        awaitClients(front.clock().now(), startedAt + limits.shutdownEndMs * 10L);
     }
 
     private void checkLater() {
-        front.timers().in(CHECK_INTERVAL_TICKS, this::check);
+        front.timers().scheduleIn(CHECK_INTERVAL_TICKS, this::check);
     }
 
     /**
@@ -69,14 +69,15 @@
      */
     private void awaitClients(long lingerStart, long deadline) {
         long now = front.clock().now();
-        boolean allRead = roster.lingering().stream().noneMatch(ClientConnection::unsent);
-        if (roster.lingering().isEmpty() || now >= deadline || now >= lingerStart + limits.leavingFlush * 10L
-                && allRead) {
-            front.log().once("left", "");
-            front.tellSums();
+        boolean allRead = clientConnections.lingeringConnections().stream()
+                .noneMatch(ClientConnection::hasPendingBytes);
+        if (clientConnections.lingeringConnections().isEmpty() || now >= deadline
+                || now >= lingerStart + limits.shutdownLingerMs * 10L && allRead) {
+            front.log().info("left", "");
+            front.logSummary();
             onComplete.run();
         } else {
-            front.timers().in(LINGER_CHECK_INTERVAL_TICKS, () -> awaitClients(lingerStart, deadline));
+            front.timers().scheduleIn(LINGER_CHECK_INTERVAL_TICKS, () -> awaitClients(lingerStart, deadline));
         }
     }
 }
--- a/src/main/java/reedspring/net/Startup.java
+++ b/src/main/java/reedspring/net/Startup.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 import java.util.concurrent.ExecutionException;
 import org.tinylog.provider.ProviderRegistry;
-import reedspring.boot.BootException;
-import reedspring.settings.StandingOrders;
+import reedspring.boot.InvalidConfigurationException;
+import reedspring.settings.InstallationSettings;
 
 /** Reads the configuration, starts the front on its event loop, and stops it when a signal asks for that. */
 public final class Startup {
@@ -39,7 +39,7 @@
      *
      * @return the exit code; the caller has to halt with it, as the event loop's thread is still alive
      */
-    public static int serve(Map<String, String> environment, StandingOrders settings)
+    public static int serve(Map<String, String> environment, InstallationSettings settings)
             throws InterruptedException {
         return serve(environment, new Installation(settings));
     }
@@ -55,7 +55,7 @@
         Log.JsonLines jsonLines();
 
         /** Adds the features to the front; on the loop's thread. */
-        void install(Front front, EventLoop loop, String name) throws BootException;
+        void install(Front front, EventLoop loop, String name) throws InvalidConfigurationException;
     }
 
     private static int serve(Map<String, String> environment, OptionalFeatures features)
@@ -74,7 +74,7 @@
             FrontConfiguration configuration =
                     FILE_READ_ATTEMPTS.call(() -> FrontConfiguration.read(path),
                             IOException.class::isInstance);
-            Turns turns = new Turns();
+            EventLoopTurns turns = new EventLoopTurns();
             EventLoop loop = LOOP_START_ATTEMPTS.call(() -> openEventLoop(turns), Startup::isUnavailable);
             LOOP_START_ATTEMPTS.call(() -> startThread(loop), Startup::isUnavailable);
             StartedFront started = startFront(loop, turns, configuration, features, termination);
@@ -85,25 +85,25 @@
             Channel listener = BIND_ATTEMPTS.call(() -> bind(loop, front, configuration),
                     failure -> isUnavailable(failure) && !termination.isRequested());
             if (!reloadsEnabled) {
-                front.log().line("SIGHUP is inherited as ignored from the parent process, no reload is heard",
+                front.log().warn("SIGHUP is inherited as ignored from the parent process, no reload is heard",
                         "");
             }
             if (!dispatchedWithoutThreads) {
-                front.log().line("each signal starts a new thread",
+                front.log().warn("each signal starts a new thread",
                         "this JVM does not allow replacing its signal handlers");
             }
-            front.log().once("front " + configuration.name() + " serves on",
+            front.log().info("front " + configuration.name() + " serves on",
                     configuration.listen().toString());
-            loop.execute(() -> front.atTheEnd(listener::close));
+            loop.execute(() -> front.setListenerCloser(listener::close));
             listener.closeFuture().addListener(closed -> {
-                if (!front.leaves()) {
+                if (!front.isLeaving()) {
                     termination.fail(EXIT_UNAVAILABLE);
                 }
             });
             int exitCode = termination.await();
             closeFront(front, reloads);
             return exitCode;
-        } catch (BootException e) {
+        } catch (InvalidConfigurationException e) {
             System.err.println("reedspring: configuration: " + e.getMessage());
             return EXIT_CONFIGURATION;
         } catch (UnavailableException e) {
@@ -139,7 +139,7 @@
     }
 
     /** Creates an event loop with an open selector. */
-    private static EventLoop openEventLoop(Turns turns) throws UnavailableException {
+    private static EventLoop openEventLoop(EventLoopTurns turns) throws UnavailableException {
         try {
             return new MultiThreadIoEventLoopGroup(1, turns).next();
         } catch (IllegalStateException e) {
@@ -171,8 +171,8 @@
 
     private static Channel bind(EventLoop loop, Front front, FrontConfiguration configuration)
             throws UnavailableException, InterruptedException {
-        ChannelFuture bound = server(loop, front, configuration.limits()).bind(configuration.listen())
-                .await();
+        ChannelFuture bound = listenerBootstrap(loop, front, configuration.limits())
+                .bind(configuration.listen()).await();
         if (!bound.isSuccess()) {
             throw new UnavailableException("listen", bound.cause());
         }
@@ -185,41 +185,42 @@
             reloads.start();
             return true;
         } catch (OutOfMemoryError e) {
-            front.log().line("no thread for reloads, SIGHUP is ignored", e.getMessage());
+            front.log().warn("no thread for reloads, SIGHUP is ignored", e.getMessage());
             return false;
         }
     }
 
-    private static StartedFront startFront(EventLoop loop, Turns turns, FrontConfiguration configuration,
+    private static StartedFront startFront(EventLoop loop, EventLoopTurns turns,
+                                           FrontConfiguration configuration,
                                            OptionalFeatures features, Termination termination)
-            throws InterruptedException, BootException {
+            throws InterruptedException, InvalidConfigurationException {
         try {
             return loop.submit(() -> {
                 Log log = new Log(configuration.limits(), features == null ? null : features.jsonLines());
-                Front front = new Front(loop, turns, configuration.boot(), configuration.limits(), log,
-                        configuration.seed());
+                Front front = new Front(loop, turns, configuration.deploymentReader(), configuration.limits(),
+                        log, configuration.seed());
                 if (features != null) {
                     features.install(front, loop, configuration.name());
                 }
                 termination.frontStarted(front);
-                return new StartedFront(front, follow(loop, front, configuration));
+                return new StartedFront(front, followJournal(loop, front, configuration));
             }).get();
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof BootException error) {
+            if (e.getCause() instanceof InvalidConfigurationException error) {
                 throw error;
             }
-            throw new BootException("known", String.valueOf(e.getCause()));
+            throw new InvalidConfigurationException("known", String.valueOf(e.getCause()));
         }
     }
 
     /** Gives the front the engines of the configuration, and then the updates of the journal service. */
-    static Journal follow(EventLoop loop, Front front, FrontConfiguration configuration)
-            throws BootException {
+    static Journal followJournal(EventLoop loop, Front front, FrontConfiguration configuration)
+            throws InvalidConfigurationException {
         Journal journal = new Journal(loop, front, configuration.limits(), configuration.journal(),
                 ~configuration.seed());
-        front.newsFrom(journal::readNow);
-        journal.known(configuration.known());
-        journal.follow();
+        front.setJournalReader(journal::readNow);
+        journal.loadConfigured(configuration.known());
+        journal.connect();
         return journal;
     }
 
@@ -234,30 +235,30 @@
         try {
             InetSocketAddress service = FrontConfiguration.read(path).journal();
             loop.execute(() -> {
-                front.log().line("configuration read again, journal at", service.toString());
-                journal.move(service);
+                front.log().warn("configuration read again, journal at", service.toString());
+                journal.changeAddress(service);
             });
             return true;
         } catch (IOException e) {
             logUnusable(loop, front, FrontConfiguration.unreadableFile(e));
-        } catch (BootException e) {
+        } catch (InvalidConfigurationException e) {
             logUnusable(loop, front, e);
         } catch (RuntimeException e) {
-            loop.execute(() -> front.log().fault("configuration can't be used, nothing changed", e));
+            loop.execute(() -> front.log().error("configuration can't be used, nothing changed", e));
         }
         return false;
     }
 
     /** The message is part of the event, so that the log's rate limit applies to each fault on its own. */
-    private static void logUnusable(EventLoop loop, Front front, BootException error) {
+    private static void logUnusable(EventLoop loop, Front front, InvalidConfigurationException error) {
         String line = "configuration can't be used, nothing changed: " + error.getMessage();
-        loop.execute(() -> front.log().line(line, ""));
+        loop.execute(() -> front.log().warn(line, ""));
     }
 
     /** Closes the spool and writes the last log lines, for a limited time, as the log may be blocked. */
     private static void closeFront(Front front, Reloads reloads) throws InterruptedException {
-        if (front.kept() != null && !front.kept().close(SPOOL_CLOSE_TIMEOUT_MS)) {
-            front.log().once("spool not closed,", "its unfinished segments are checked at the next start");
+        if (front.keptAnswers() != null && !front.keptAnswers().close(SPOOL_CLOSE_TIMEOUT_MS)) {
+            front.log().info("spool not closed,", "its unfinished segments are checked at the next start");
         }
         reloads.finish(Startup::closeLog, LOG_CLOSE_TIMEOUT_MS);
     }
@@ -271,9 +272,9 @@
     }
 
     /** The listener, configured but not bound. */
-    static ServerBootstrap server(EventLoopGroup group, Front front, Limits limits) {
+    static ServerBootstrap listenerBootstrap(EventLoopGroup group, Front front, Limits limits) {
         AcceptGuard guard = new AcceptGuard(front);
-        front.listensBehind(guard);
+        front.setAcceptGuard(guard);
         return new ServerBootstrap().group(group).channelFactory(FrontServerSocketChannel::new).handler(guard)
                 .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_RCVBUF, limits.socketBytes)
@@ -282,15 +283,15 @@
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
                         new WriteBufferWaterMark(limits.unsentBytes / 2, limits.unsentBytes))
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(256, limits.firstRead, limits.largestRead))
+                        new AdaptiveRecvByteBufAllocator(256, limits.initialReadBytes, limits.maxReadBytes))
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         ClientConnection client = new ClientConnection(front, guard.earliestArrival());
                         channel.pipeline().addLast(client.socketReads(),
-                                new FlushConsolidationHandler(limits.flushes, true), client.decoder(),
-                                        client);
-                        if (!front.roster().came(client)) {
+                                new FlushConsolidationHandler(limits.maxMessagesPerWrite, true),
+                                client.decoder(), client);
+                        if (!front.clientConnections().add(client)) {
                             channel.close();
                         }
                     }
@@ -304,7 +305,7 @@
             return null;
         } catch (IOException e) {
             return FrontConfiguration.unreadableFile(e).getMessage();
-        } catch (BootException e) {
+        } catch (InvalidConfigurationException e) {
             return e.getMessage();
         }
     }
--- a/src/main/java/reedspring/spool/store/Survey.java
+++ b/src/main/java/reedspring/spool/store/Survey.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 import reedspring.spool.AnswerId;
-import reedspring.spool.Word;
+import reedspring.spool.SpoolEvent;
 
 /**
  * Content of a spool directory, of all fronts that use it, for inspection by other processes. Reading it
  * changes no files; segments that a running front deletes meanwhile are left out.
  *
  * @param segments sizes of the segments by number
- * @param remarks messages about files that could not be used completely
+ * @param notices messages about files that could not be used completely
  * @param faults pages that could not be read
  */
-public record Survey(Map<Long, Long> segments, List<Answer> answers, List<String> remarks,
+public record Survey(Map<Long, Long> segments, List<Answer> answers, List<String> notices,
         List<String> faults,
                      long pagesRead) {
     /** A stored answer; {@code expiresAt} is Unix time in ticks (tenths of a millisecond). */
@@ -27,17 +27,17 @@
 
     /** @param pages whether to read and check every page */
     public static Survey of(Disk disk, boolean pages) throws IOException {
-        List<String> remarks = new ArrayList<>();
+        List<String> notices = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         Map<Long, Long> segments = new TreeMap<>();
         List<Answer> answers = new ArrayList<>();
         long pagesRead = 0;
-        Set<String> fronts = new HashSet<>(Store.frontNames(disk, remarks::add));
+        Set<String> fronts = new HashSet<>(SegmentStore.frontNames(disk, notices::add));
         for (String front : fronts) {
-            Store store = new Store(disk, front, Format.MAX_PAGE_BYTES);
-            Word.Recovered contents = store.inspect(remarks::add);
+            SegmentStore store = new SegmentStore(disk, front, Format.MAX_PAGE_BYTES);
+            SpoolEvent.Recovered contents = store.inspect(notices::add);
             contents.segments().forEach(segment -> segments.put(segment.number(), segment.bytes()));
-            for (Word.RecoveredAnswer answer : contents.answers()) {
+            for (SpoolEvent.RecoveredAnswer answer : contents.answers()) {
                 if (!store.isCurrent(answer.answer(), answer.segment())) {
                     // An older copy, from before the answer was moved.
                     continue;
@@ -46,7 +46,7 @@
                         answer.expiresAt(), answer.segment()));
                 for (int page = 0; pages && page < answer.pages(); page++) {
                     try {
-                        store.read(answer.answer(), page);
+                        store.readPage(answer.answer(), page);
                         pagesRead++;
                     } catch (IOException e) {
                         if (disk.list().contains(Format.segmentFileName(answer.segment()))) {
@@ -58,7 +58,7 @@
             }
             store.closeFiles();
         }
-        return new Survey(segments, answers, remarks, faults, pagesRead);
+        return new Survey(segments, answers, notices, faults, pagesRead);
     }
 
     /** Deletes the segments in which every answer has expired by this time and returns their numbers. */
@@ -71,7 +71,7 @@
                 deleted.add(segment);
             }
         }
-        disk.syncNames();
+        disk.syncDirectory();
         return deleted;
     }
 }
--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -25,7 +25,7 @@
 import java.util.function.Function;
 import reedspring.api.Event;
 import reedspring.api.Id;
-import reedspring.boot.BootException;
+import reedspring.boot.InvalidConfigurationException;
 
 /**
  * A front with the real control plane and a simulated data path. Configuration, journal follower (on a real
@@ -54,7 +54,7 @@
 
     /** An event loop with one thread, shared by any number of hollow fronts. */
     public static final class Loop implements Closeable {
-        private final Turns turns = new Turns();
+        private final EventLoopTurns turns = new EventLoopTurns();
         private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         private final EventLoop eventLoop = group.next();
         private final long threadId = call(() -> Thread.currentThread().getId());
@@ -120,12 +120,13 @@
         loop.eventLoop.execute(this::start);
     }
 
-    private Object[] createParts(Path config) throws BootException, IOException {
+    private Object[] createParts(Path config) throws InvalidConfigurationException, IOException {
         FrontConfiguration configuration = FrontConfiguration.read(config.toString());
         Log log = new Log(configuration.limits(), this::countLogLine);
-        Front created = new Front(loop.eventLoop, loop.turns, configuration.boot(), configuration.limits(),
+        Front created = new Front(loop.eventLoop, loop.turns, configuration.deploymentReader(),
+                configuration.limits(),
                 log, configuration.seed(), SimulatedRunner::new);
-        Journal follower = Startup.follow(loop.eventLoop, created, configuration);
+        Journal follower = Startup.followJournal(loop.eventLoop, created, configuration);
         return new Object[] {new SplittableRandom(configuration.seed()), created, follower};
     }
 
@@ -142,7 +143,7 @@
     private void scheduleNextQuery() {
         if (queriesPerSecond > 0) {
             double intervalTicks = -Math.log(1 - random.nextDouble()) * 10_000 / queriesPerSecond;
-            front.timers().in(Math.max(1, Math.round(intervalTicks)), () -> {
+            front.timers().scheduleIn(Math.max(1, Math.round(intervalTicks)), () -> {
                 scheduleNextQuery();
                 submitQuery(queryGenerator.apply(random));
             });
@@ -158,7 +159,7 @@
         fields.put("need_mb", String.format(Locale.ROOT, "%.0f", query.needMb()));
         EmbeddedChannel client = clients.get((int) (lastTrace % CLIENTS));
         generatedQueries++;
-        client.writeInbound(new RpcDecoder.Call(lastTrace, query.group(), fields, Unpooled.copiedBuffer(
+        client.writeInbound(new RpcDecoder.Request(lastTrace, query.group(), fields, Unpooled.copiedBuffer(
                 "select 1 from sales_" + lastTrace % 9 + ".orders", StandardCharsets.US_ASCII), null));
         countAnswers(client);
     }
@@ -183,8 +184,8 @@
         }
 
         @Override
-        public void listed(Event.Reading reading, List<Host> hosts) {
-            if (reading != Event.Reading.CHANGES) {
+        public void enginesListed(Event.ListKind reading, List<Host> hosts) {
+            if (reading != Event.ListKind.CHANGES) {
                 listedRows.clear();
                 digest = 0;
             }
@@ -208,23 +209,23 @@
             firstSentNanos.putIfAbsent(engine.address(), sentNanos);
             s.written = true;
             s.sentAt = owner.clock().now();
-            long workTicks = s.query.taken.estimate();
+            long workTicks = s.query.takenEvent.estimate();
             long durationTicks = Math.max(1,
                     Math.round(workTicks * Math.exp(DURATION_SIGMA * random.nextGaussian())));
-            owner.timers().in(durationTicks, () -> finish(engine, s, workTicks));
+            owner.timers().scheduleIn(durationTicks, () -> finish(engine, s, workTicks));
         }
 
         private void finish(Id.Engine engine, Submission s, long workTicks) {
-            if (s.over) {
+            if (s.ended) {
                 return;
             }
             s.pages = new ByteBuf[0];
-            s.work = workTicks;
-            owner.seenEnd(s);
-            owner.reported(engine.address(), String.format(Locale.ROOT, "util:%.2f;x0:%.2f;queue:0",
+            s.workTicks = workTicks;
+            owner.recordEnd(s);
+            owner.loadReported(engine.address(), String.format(Locale.ROOT, "util:%.2f;x0:%.2f;queue:0",
                     0.5 * random.nextDouble(), 0.5 * random.nextDouble()));
             finishedSubmissions++;
-            owner.closed(s, Event.Outcome.FINISHED);
+            owner.submissionEnded(s, Event.Outcome.FINISHED);
         }
 
         @Override
--- a/src/rig/java/reedspring/rig/Appends.java
+++ b/src/rig/java/reedspring/rig/Appends.java
@@ -15,7 +15,7 @@
 import org.h2.mvstore.MVStore;
 import reedspring.spool.AnswerId;
 import reedspring.spool.store.FileDisk;
-import reedspring.spool.store.Store;
+import reedspring.spool.store.SegmentStore;
 
 /** Part of bench/spool: compares the store's appends with plain sequential writes on the same disk. */
 final class Appends {
@@ -53,7 +53,7 @@
         double plainSeconds = writePlainFile(folder.resolve("plain"), bytes, page);
         List<AnswerId> ids = new ArrayList<>();
         long startNanos = System.nanoTime();
-        try (Store store = new Store(new FileDisk(folder, true), "n0", PAGE_BYTES)) {
+        try (SegmentStore store = new SegmentStore(new FileDisk(folder, true), "n0", PAGE_BYTES)) {
             long segment = 0;
             long segmentBytes = SEGMENT_BYTES;
             List<Long> unsynced = new ArrayList<>();
@@ -64,14 +64,14 @@
                         store.seal(segment);
                         unsynced.clear();
                     }
-                    store.open(++segment);
+                    store.createSegment(++segment);
                     segmentBytes = 0;
                 }
                 AnswerId id = new AnswerId(7, written);
                 for (int k = 0; k < PAGES_PER_ANSWER; k++) {
-                    store.write(id, segment, k, ByteBuffer.wrap(page));
+                    store.appendPage(id, segment, k, ByteBuffer.wrap(page));
                 }
-                store.whole(id, segment, "acme", true, PAGES_PER_ANSWER, Long.MAX_VALUE);
+                store.appendCommit(id, segment, "acme", true, PAGES_PER_ANSWER, Long.MAX_VALUE);
                 ids.add(id);
                 unsynced.add(segment);
                 if (unsynced.size() == ANSWERS_PER_SYNC) {
@@ -85,7 +85,7 @@
         }
         double appendSeconds = (System.nanoTime() - startNanos) / 1e9;
         startNanos = System.nanoTime();
-        try (Store store = new Store(new FileDisk(folder, true), "n0", PAGE_BYTES)) {
+        try (SegmentStore store = new SegmentStore(new FileDisk(folder, true), "n0", PAGE_BYTES)) {
             int found = store.recover(remark -> { }).answers().size();
             Rig.require(found == ids.size(), found + " answers recovered of " + ids.size());
             double recoverySeconds = (System.nanoTime() - startNanos) / 1e9;
@@ -93,7 +93,7 @@
             startNanos = System.nanoTime();
             int reads = 20_000;
             for (int k = 0; k < reads; k++) {
-                store.read(ids.get(random.nextInt(ids.size())), random.nextInt(PAGES_PER_ANSWER));
+                store.readPage(ids.get(random.nextInt(ids.size())), random.nextInt(PAGES_PER_ANSWER));
             }
             double readSeconds = (System.nanoTime() - startNanos) / 1e9;
             String sizeLabel = String.format("%.1fgb", gb).replace('.', '_');
--- a/src/rig/java/reedspring/rig/Lists.java
+++ b/src/rig/java/reedspring/rig/Lists.java
@@ -11,7 +11,7 @@
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
 import reedspring.api.Event.Listing;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 import reedspring.api.Load;
 
@@ -51,20 +51,21 @@
         for (int repeat = 0; repeat < REPEATS && spentMs < MAX_FIRST_LIST_SECONDS * 1e3 / 2; repeat++) {
             Control control = new Control(repeat, deployment(), 1_000_000, action -> { });
             List<Listing> list = rows(0, engines);
-            double firstMs = applyList(control, Reading.REMEMBERED, list);
+            double firstMs = applyList(control, ListKind.CACHED, list);
             double againMs = Double.NaN;
             double halfReplacedMs = Double.NaN;
             if (firstMs < MAX_FIRST_LIST_SECONDS * 1e3 / 3) {
-                againMs = applyList(control, Reading.COMPLETE, list);
-                halfReplacedMs = applyList(control, Reading.COMPLETE, rows(engines / 2, engines));
+                againMs = applyList(control, ListKind.COMPLETE, list);
+                halfReplacedMs = applyList(control, ListKind.COMPLETE, rows(engines / 2, engines));
             }
             double changedMs = 0;
             double reportMs = 0;
             for (int k = 0; k < 20; k++) {
                 Listing row = rows(engines - 1 - k, 1).get(0);
-                changedMs += applyList(control, Reading.CHANGES, List.of(new Listing(row.engine(), row.kind(),
+                changedMs += applyList(control, ListKind.CHANGES,
+                        List.of(new Listing(row.engine(), row.kind(),
                         row.zone(), row.cell(), Health.DRAINING, 0))) / 20;
-                reportMs += cpuMs(() -> control.on(1_000_000, new Event.LoadReported(row.engine(),
+                reportMs += cpuMs(() -> control.onEvent(1_000_000, new Event.LoadReported(row.engine(),
                         new Load(0.5, 0.5, 0.5, 3, 1)), action -> { })) / 20;
             }
             results.add(new double[] {firstMs, againMs, halfReplacedMs, changedMs, reportMs});
@@ -82,8 +83,8 @@
         return results.get(0)[0];
     }
 
-    private static double applyList(Control control, Reading reading, List<Listing> rows) {
-        return cpuMs(() -> control.on(1_000_000, new Event.EnginesListed(reading, rows), action -> { }));
+    private static double applyList(Control control, ListKind reading, List<Listing> rows) {
+        return cpuMs(() -> control.onEvent(1_000_000, new Event.EnginesListed(reading, rows), action -> { }));
     }
 
     private static double cpuMs(Runnable task) {
@@ -107,7 +108,7 @@
                 null)),
                 List.of(new Deployment.Tenant(1, 100)),
                 Map.of(new Id.Kind("m"), new Deployment.Machine(8, 16_000)),
-                new Deployment.Allowed(true, true, true, 4, TICKS_PER_SECOND / 2),
+                new Deployment.Capabilities(true, true, true, 4, TICKS_PER_SECOND / 2),
                 new Deployment.Discovery(false, 10 * TICKS_PER_SECOND),
                 new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), null,
                 TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND, true);
--- a/src/rig/java/reedspring/rig/MemoryDisk.java
+++ b/src/rig/java/reedspring/rig/MemoryDisk.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public OutputFile create(String name) throws IOException {
         step();
         failRandomly("creating");
         if (files.containsKey(name)) {
@@ -163,7 +163,7 @@
         }
         Content created = new Content();
         files.put(name, created);
-        return new Out() {
+        return new OutputFile() {
             @Override
             public void write(ByteBuffer from) throws IOException {
                 int length = from.remaining();
@@ -216,9 +216,9 @@
     }
 
     @Override
-    public In open(String name) throws IOException {
+    public InputFile open(String name) throws IOException {
         Content content = content(name);
-        return new In() {
+        return new InputFile() {
             @Override
             public long size() {
                 return content.size;
@@ -253,7 +253,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         step();
         failRandomly("sync of names");
         durableFiles = new HashMap<>(files);
--- a/src/rig/java/reedspring/rig/fleet/FleetSettings.java
+++ b/src/rig/java/reedspring/rig/fleet/FleetSettings.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.TreeSet;
 import reedspring.api.Deployment;
-import reedspring.boot.Boot;
-import reedspring.boot.BootException;
+import reedspring.boot.DeploymentReader;
+import reedspring.boot.InvalidConfigurationException;
 
 /** The settings of a fleet's fronts, for front processes and for simulated decisions in virtual time. */
 public final class FleetSettings {
@@ -99,8 +99,8 @@
 
     static Deployment deployment(Timetable timetable) {
         try {
-            return new Boot(settings(timetable)).deployment();
-        } catch (BootException e) {
+            return new DeploymentReader(settings(timetable)).deployment();
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
+++ b/src/rig/java/reedspring/rig/fleet/SimulatedEngine.java
@@ -263,7 +263,7 @@
         Load load = reportingIdle ? new Load(0, 0, Double.NaN, 0, 0) : frozenLoad != null ? frozenLoad
                 : model.load();
         return String.format(Locale.ROOT, "rep=util:%.2f;x0:%.2f;queue:%.0f", load.cores(), load.memory(),
-                load.waiting());
+                load.queued());
     }
 
     synchronized void failing(boolean on) {
--- a/src/rig/java/reedspring/rig/fleet/Timetable.java
+++ b/src/rig/java/reedspring/rig/fleet/Timetable.java
@@ -203,9 +203,9 @@
         Timetable timetable = new Timetable(file.getFileName().toString(), fronts, engines,
                 (int) ini.count(fleetSection, "sites", 1, 1, 26), readCores(ini, fleetSection),
                 ini.size(fleetSection, "memory", 4L << 30, 1 << 20, 1L << 50) / (double) (1 << 20),
-                ini.span(fleetSection, "length", 10 * TICKS_PER_SECOND, TICKS_PER_SECOND,
+                ini.duration(fleetSection, "length", 10 * TICKS_PER_SECOND, TICKS_PER_SECOND,
                 600 * TICKS_PER_SECOND),
-                ini.span(fleetSection, "settle", 5 * TICKS_PER_SECOND, 0, 60 * TICKS_PER_SECOND),
+                ini.duration(fleetSection, "settle", 5 * TICKS_PER_SECOND, 0, 60 * TICKS_PER_SECOND),
                 ini.count(fleetSection, "queries_a_second", 80, 0, 100_000), mix(ini, fleetSection),
                 (int) ini.count(fleetSection, "busy_fronts", 0, 0, fronts),
                 ini.count(fleetSection, "busy_times", 1, 1, 100),
@@ -220,13 +220,13 @@
                 ini.fault(entry.title, "engines", "'" + entry.engines + "' selects nothing");
             }
         }
-        ini.end();
+        ini.finish();
         return timetable;
     }
 
     private static Mix mix(Ini ini, String section) {
-        double shortMs = ini.span(section, "short_work", 1_200, 10, 600 * TICKS_PER_SECOND) / 10.0;
-        double longMs = ini.span(section, "long_work", 9_000, 10, 600 * TICKS_PER_SECOND) / 10.0;
+        double shortMs = ini.duration(section, "short_work", 1_200, 10, 600 * TICKS_PER_SECOND) / 10.0;
+        double longMs = ini.duration(section, "long_work", 9_000, 10, 600 * TICKS_PER_SECOND) / 10.0;
         double shortMb = ini.size(section, "short_need", 60 << 20, 0, 1L << 50) / (double) (1 << 20);
         double longMb = ini.size(section, "long_need", 250 << 20, 0, 1L << 50) / (double) (1 << 20);
         return new Mix((int) ini.count(section, "long_one_in", 8, 1, MAX_ONE_IN),
@@ -238,16 +238,16 @@
         ini.has(section);
         List<String> typeKeys = IntStream.range(0, EntryType.values().length)
                 .mapToObj(k -> keyOf(EntryType.values()[k])).toList();
-        String typeKey = ini.word(section, "what", null, typeKeys);
+        String typeKey = ini.choice(section, "what", null, typeKeys);
         if (typeKey == null) {
             ini.fault(section, "what", "missing");
         }
-        String link = ini.word(section, "link", "engine", List.of("client", "engine", "journal"));
-        return new Entry(section, ini.span(section, "at", 0, 0, 600 * TICKS_PER_SECOND),
-                ini.span(section, "for", 0, 0, 600 * TICKS_PER_SECOND),
+        String link = ini.choice(section, "link", "engine", List.of("client", "engine", "journal"));
+        return new Entry(section, ini.duration(section, "at", 0, 0, 600 * TICKS_PER_SECOND),
+                ini.duration(section, "for", 0, 0, 600 * TICKS_PER_SECOND),
                 EntryType.values()[Math.max(0, typeKeys.indexOf(typeKey))], Link.valueOf(link.toUpperCase()),
                 ini.any(section, "fronts", "all"), ini.any(section, "engines", "all"),
-                ini.span(section, "by", 0, 0, 60 * TICKS_PER_SECOND),
+                ini.duration(section, "by", 0, 0, 60 * TICKS_PER_SECOND),
                 readFactor(ini, section), ini.size(section, "rate", 1 << 20, 1, 1L << 40));
     }
 
--- a/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
+++ b/src/rig/java/reedspring/rig/fleet/VirtualFleet.java
@@ -152,7 +152,7 @@
                     submission.front.returnOutcome(submission, Outcome.FINISHED, execution.workTicks);
                 }
             }
-            long progressInterval = deployment.noteEvery();
+            long progressInterval = deployment.progressInterval();
             for (EngineModel.Execution execution : List.copyOf(model.executions())) {
                 if (now - execution.startedAt >= STEP_TICKS
                         && (now - execution.startedAt) % progressInterval < STEP_TICKS
@@ -201,7 +201,7 @@
             lastHeardAt = new HashMap<>();
             control = new Control(random.nextLong(), deployment, now, this::apply);
             List<Event.Listing> listed = engines.stream().map(Engine::listing).toList();
-            handle(new Event.EnginesListed(Event.Reading.COMPLETE, listed));
+            handle(new Event.EnginesListed(Event.ListKind.COMPLETE, listed));
         }
 
         private void crash() {
@@ -235,7 +235,7 @@
         }
 
         private void handle(Event event) {
-            control.on(now, event, this::apply);
+            control.onEvent(now, event, this::apply);
         }
 
         private void accept(ClientRequest request) {
@@ -249,20 +249,20 @@
         private void apply(Action action) {
             if (action instanceof Action.Submit submit) {
                 submit(submit);
-            } else if (action instanceof Action.WakeMe wakeUp) {
+            } else if (action instanceof Action.StartTimer wakeUp) {
                 int ownIncarnation = incarnation;
-                schedule(now + wakeUp.span(), () -> {
+                schedule(now + wakeUp.delay(), () -> {
                     if (incarnation == ownIncarnation) {
                         deliver(() -> handle(new Event.Woken(wakeUp.timer())));
                     }
                 });
             } else if (action instanceof Action.Defer defer) {
-                require(defer.comeBack() <= deployment.allowed().longestComeBack(),
+                require(defer.retryAfter() <= deployment.capabilities().maxRetryAfter(),
                         "a retry time above the limit");
                 require(!executedMutations.contains(defer.query()),
                         "a mutating query that may have run was deferred");
                 ClientRequest request = finishQuery(defer.query());
-                scheduleRetry(request, now + Math.max(defer.comeBack(), 5 * TICKS_PER_MS));
+                scheduleRetry(request, now + Math.max(defer.retryAfter(), 5 * TICKS_PER_MS));
             } else if (action instanceof Action.Kill kill) {
                 finishQuery(kill.query());
                 count("killed");
@@ -285,7 +285,7 @@
             require(request != null && !answered.contains(submit.query()),
                     "a submission for a query that has ended");
             require(!runningSubmissions.containsKey(submit.query()), "two submissions at once");
-            require(number < deployment.allowed().submissions(), "more submissions than the limit");
+            require(number < deployment.capabilities().maxSubmissions(), "more submissions than the limit");
             Engine engine = engines.stream().filter(e -> submit.engine().address().equals(e.id)).findAny()
                     .orElse(null);
             long offSince = unavailableSince.getOrDefault(submit.engine(), Long.MAX_VALUE);
@@ -438,7 +438,7 @@
                 } else {
                     unavailableSince.putIfAbsent(listing.engine(), now);
                 }
-                handle(new Event.EnginesListed(Event.Reading.CHANGES, List.of(listing)));
+                handle(new Event.EnginesListed(Event.ListKind.CHANGES, List.of(listing)));
             });
         }
 
--- a/src/rig/java/reedspring/rig/scale/ControlDriver.java
+++ b/src/rig/java/reedspring/rig/scale/ControlDriver.java
@@ -13,7 +13,7 @@
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
 import reedspring.api.Event.Outcome;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
 import reedspring.api.Load;
 import reedspring.rig.Rig;
@@ -47,7 +47,7 @@
         Deployment deployment = new Deployment(fronts, List.of(group),
                 List.of(new Deployment.Tenant(1, queriesPerSecond)),
                 Map.of(new Id.Kind("std"), new Deployment.Machine(ENGINE_CORES, 64_000)),
-                new Deployment.Allowed(false, true, false, 3, TICKS_PER_SECOND / 2),
+                new Deployment.Capabilities(false, true, false, 3, TICKS_PER_SECOND / 2),
                 new Deployment.Discovery(false, 10 * TICKS_PER_SECOND),
                 new Deployment.ColdStart(0.3, 10 * TICKS_PER_SECOND, 3, 2 * TICKS_PER_SECOND), null,
                 TICKS_PER_SECOND, 0.1, 2 * TICKS_PER_SECOND, true);
@@ -68,24 +68,24 @@
         if (action instanceof Action.Submit submit) {
             lastSubmitted = submit;
             submitCount++;
-        } else if (action instanceof Action.WakeMe wake) {
+        } else if (action instanceof Action.StartTimer wake) {
             timer = wake.timer();
         }
     }
 
     private void deliver(Event event) {
-        control.on(now, event, this::onAction);
+        control.onEvent(now, event, this::onAction);
     }
 
     /** Delivers a complete list of all engines. */
     void deliverFullList() {
-        deliver(new Event.EnginesListed(Reading.COMPLETE, listings));
+        deliver(new Event.EnginesListed(ListKind.COMPLETE, listings));
     }
 
     /** Delivers a change of one engine: to draining, and with the next call back to up. */
     void deliverRowChange() {
         int k = rowChanges / 2 % listings.size();
-        deliver(new Event.EnginesListed(Reading.CHANGES,
+        deliver(new Event.EnginesListed(ListKind.CHANGES,
                 List.of(listing(k, rowChanges++ % 2 == 0 ? Health.DRAINING : Health.UP))));
     }
 
--- a/src/test/java/reedspring/net/FrontIT.java
+++ b/src/test/java/reedspring/net/FrontIT.java
@@ -42,7 +42,7 @@
 import net.jqwik.api.ShrinkingMode;
 import reedspring.api.Deployment;
 import reedspring.api.Id;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.core.policy.QueryLifecycle;
 import reedspring.rig.Client;
 import reedspring.rig.EngineStandIn;
@@ -50,7 +50,7 @@
 import reedspring.rig.Program;
 
 /** Starts the built program with the command line of the deploy file and tests it over loopback sockets. */
-class FrontIT extends Started {
+class FrontIT extends StartedFrontTest {
     private static final int QUERIES_PER_CLIENT = 12;
     /** The specification allows 70; the test machine may be busy. */
     private static final int MAX_LATE_MS = 400;
@@ -362,27 +362,27 @@
     @Example
     void thePriorityOfARunningSubmissionCanBeChanged() throws Exception {
         EngineStandIn engine = silentEngine();
-        Turns turns = new Turns();
+        EventLoopTurns turns = new EventLoopTurns();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
-        Boot boot = new Boot(Map.of());
-        Limits limits = new Limits(boot, 1024, 192);
+        DeploymentReader deploymentReader = new DeploymentReader(Map.of());
+        Limits limits = new Limits(deploymentReader, 1024, 192);
         loop.submit(() -> {
-            Front localFront = new Front(loop, turns, boot, limits, new Log(limits, null), 1);
+            Front localFront = new Front(loop, turns, deploymentReader, limits, new Log(limits, null), 1);
             OpenQuery q = new OpenQuery(new Id.Query(1),
-                    new RpcDecoder.Call(1, "lookup", Map.of(), Unpooled.EMPTY_BUFFER, null), null,
+                    new RpcDecoder.Request(1, "lookup", Map.of(), Unpooled.EMPTY_BUFFER, null), null,
                     new QueryRequest(null, null, 0, 0, 0, Client.trace(), 1, null, null),
                     localFront.clock().now() + 50_000, new QueryLifecycle(
                             new Deployment.ResourceGroup(10_000, 2, 1, 0, 1, Deployment.Effect.READ_ONLY,
                                     Deployment.Recognised.ALL, 0, false, null, null), 3));
             Submission s = new Submission(q, localFront.clock().now(), q.deadline, Long.MAX_VALUE);
-            EngineConnection connection = new EngineConnection(localFront, limits, new Rows(limits.pageBytes),
-                    "e0", () -> true, ended -> { });
+            EngineConnection connection = new EngineConnection(localFront, limits,
+                    new RowValidator(limits.pageBytes), "e0", () -> true, ended -> { });
             connection.send(s);
             connection.dial(new Bootstrap().group(loop).channel(NioSocketChannel.class),
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), engine.port()));
-            localFront.timers().in(2_000, () -> {
+            localFront.timers().scheduleIn(2_000, () -> {
                 q.priority = 3;
                 connection.renice(s);
             });
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -24,9 +24,9 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 import reedspring.api.Event;
-import reedspring.api.Event.Reading;
+import reedspring.api.Event.ListKind;
 import reedspring.api.Id;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.rig.Client;
 import reedspring.rig.EngineStandIn;
 import reedspring.rig.JournalStandIn;
@@ -63,24 +63,24 @@
     }
 
     private void start(int maxSubmissions, String effect) throws Exception {
-        Turns turns = new Turns();
+        EventLoopTurns turns = new EventLoopTurns();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         loop = group.next();
         Map<String, String> settings = new HashMap<>(SETTINGS);
         settings.put("allowed.sendCap", Integer.toString(maxSubmissions));
         settings.put("classes.0.effect", effect);
-        Boot boot = new Boot(settings);
-        limits = new Limits(boot, 1024, 192);
-        front = onLoop(() -> new Front(loop, turns, boot, limits, new Log(limits, null), 1,
-                made -> withDecisionHook(new Engines(loop, limits, made))));
+        DeploymentReader deploymentReader = new DeploymentReader(settings);
+        limits = new Limits(deploymentReader, 1024, 192);
+        front = onLoop(() -> new Front(loop, turns, deploymentReader, limits, new Log(limits, null), 1,
+                made -> withDecisionHook(new EngineConnections(loop, limits, made))));
     }
 
     private SubmissionRunner withDecisionHook(SubmissionRunner engines) {
         return new SubmissionRunner() {
             @Override
-            public void listed(Event.Reading reading, List<Host> hosts) {
-                engines.listed(reading, hosts);
+            public void enginesListed(Event.ListKind reading, List<Host> hosts) {
+                engines.enginesListed(reading, hosts);
             }
 
             @Override
@@ -100,11 +100,11 @@
 
     private int startListener(EngineStandIn engine) throws Exception {
         onLoop(() -> {
-            front.listed(Reading.REMEMBERED, List.of(listed("e0", engine, Event.Health.UP)));
+            front.enginesListed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
             return null;
         });
-        return ((InetSocketAddress) Startup.server(loop, front, limits).bind("127.0.0.1", 0).sync().channel()
-                .localAddress()).getPort();
+        return ((InetSocketAddress) Startup.listenerBootstrap(loop, front, limits).bind("127.0.0.1", 0).sync()
+                .channel().localAddress()).getPort();
     }
 
     private static List<?> ask(Client client, int id, int patienceMs) throws IOException {
@@ -202,9 +202,9 @@
     @Example
     void unboundListenerDoesNotStopConnectionChecks() throws Exception {
         int port = startListener(open(new EngineStandIn(EngineStandIn.answerWithPages(1))));
-        onLoop(() -> Startup.server(loop, front, limits));
+        onLoop(() -> Startup.listenerBootstrap(loop, front, limits));
         Client silent = open(new Client(port));
-        silent.socket.setSoTimeout(limits.tick * (limits.silentTicks + 6));
+        silent.socket.setSoTimeout(limits.tickMs * (limits.silentTicks + 6));
         assertTrue(silent.closedByFront(), "the silent client is disconnected");
     }
 
@@ -221,7 +221,7 @@
 
     private static Host listed(String name, EngineStandIn engine, Event.Health health) throws Exception {
         return new Host(new Event.Listing(new Id.Engine(name), new Id.Kind("m"), new Id.Zone("a"),
-                new Id.Cell(0), health, 0), FrontConfiguration.address(engine.address(), "dial"), 0);
+                new Id.Cell(0), health, 0), FrontConfiguration.parseAddress(engine.address(), "dial"), 0);
     }
 
     /** Requests arrive, then an engine's drain notice; both are in the sockets when the loop resumes. */
@@ -236,12 +236,12 @@
                 engineRow("e1", other.address(), "ready"));
         onLoop(() -> {
             Journal follower = new Journal(loop, front, limits,
-                    FrontConfiguration.address(journal.address(), "journal"), 1);
-            front.newsFrom(follower::readNow);
-            follower.follow();
+                    FrontConfiguration.parseAddress(journal.address(), "journal"), 1);
+            front.setJournalReader(follower::readNow);
+            follower.connect();
             return null;
         });
-        InetSocketAddress listen = (InetSocketAddress) Startup.server(loop, front, limits)
+        InetSocketAddress listen = (InetSocketAddress) Startup.listenerBootstrap(loop, front, limits)
                 .bind("127.0.0.1", 0).sync().channel().localAddress();
         List<Client> clients = new ArrayList<>();
         for (int k = 0; k < 12; k++) {
@@ -275,8 +275,8 @@
     @Example
     void descriptorLimitsKeepTheJournalReachable() throws Exception {
         for (int sockets = 64; sockets <= 4_096; sockets++) {
-            Limits each = new Limits(new Boot(SETTINGS), sockets, 192);
-            int shared = each.clientConnections + each.allEngineConnections + each.lingering;
+            Limits each = new Limits(new DeploymentReader(SETTINGS), sockets, 192);
+            int shared = each.clientConnections + each.allEngineConnections + each.maxLingering;
             assertTrue(sockets - shared >= 40 && each.clientConnections > 0 && each.allEngineConnections > 0,
                     shared + " of " + sockets);
             // Clients may use a third of the descriptors, unless there are few.
@@ -295,8 +295,8 @@
         }
         Journal follower = onLoop(() -> {
             Journal made = new Journal(loop, front, limits,
-                    FrontConfiguration.address(journal.address(), "journal"), 1);
-            made.follow();
+                    FrontConfiguration.parseAddress(journal.address(), "journal"), 1);
+            made.connect();
             return made;
         });
         await("the last list", () -> {
@@ -306,7 +306,7 @@
                 throw new AssertionError(e);
             }
         });
-        assertEquals(1, onLoop(follower::held));
+        assertEquals(1, onLoop(follower::knownHosts));
     }
 
     /** A drain notice arrives after the decision, while the connection to the engine is being opened. */
@@ -315,11 +315,11 @@
         EngineStandIn first = engine();
         EngineStandIn second = engine();
         EmbeddedChannel client = onLoop(() -> {
-            front.listed(Reading.REMEMBERED, List.of(listed("e0", first, Event.Health.UP)));
+            front.enginesListed(ListKind.CACHED, List.of(listed("e0", first, Event.Health.UP)));
             EmbeddedChannel channel = new EmbeddedChannel(new ClientConnection(front));
-            channel.writeInbound(new RpcDecoder.Call(1, "lookup", Map.of("trace", Client.trace(),
+            channel.writeInbound(new RpcDecoder.Request(1, "lookup", Map.of("trace", Client.trace(),
                     "patience", "5000"), Unpooled.copiedBuffer(new byte[5]), null));
-            front.listed(Reading.CHANGES, List.of(listed("e0", first, Event.Health.DRAINING),
+            front.enginesListed(ListKind.CHANGES, List.of(listed("e0", first, Event.Health.DRAINING),
                     listed("e1", second, Event.Health.UP)));
             return channel;
         });
@@ -342,9 +342,9 @@
         List<EngineStandIn.Command> asked = new CopyOnWriteArrayList<>();
         EngineStandIn engine = open(new EngineStandIn(asked::add));
         EmbeddedChannel client = onLoop(() -> {
-            front.listed(Reading.REMEMBERED, List.of(listed("e0", engine, Event.Health.UP)));
+            front.enginesListed(ListKind.CACHED, List.of(listed("e0", engine, Event.Health.UP)));
             EmbeddedChannel channel = new EmbeddedChannel(new ClientConnection(front));
-            channel.writeInbound(new RpcDecoder.Call(1, "lookup", Map.of("trace", Client.trace(),
+            channel.writeInbound(new RpcDecoder.Request(1, "lookup", Map.of("trace", Client.trace(),
                     "patience", "5000"), Unpooled.copiedBuffer(new byte[5]), null));
             return channel;
         });
@@ -375,7 +375,8 @@
                 blocked.countDown();
                 awaitLatch(release);
             }, 1, TimeUnit.MILLISECONDS);
-            front.timers().in(20, () -> order.add(client.outboundMessages().isEmpty() ? "alarm" : "answer"));
+            front.timers().scheduleIn(20,
+                    () -> order.add(client.outboundMessages().isEmpty() ? "alarm" : "answer"));
             sleep(20);
         });
     }
