--- a/src/test/java/reedspring/net/StallsIT.java
+++ b/src/test/java/reedspring/net/StallsIT.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
-import reedspring.boot.Boot;
+import reedspring.boot.DeploymentReader;
 import reedspring.rig.Client;
 import reedspring.rig.JournalStandIn;
 import reedspring.rig.Program;
 
 /** Forces stalls on an event loop of this process and in a started front, and checks the log lines. */
-class StallsIT extends Started {
+class StallsIT extends StartedFrontTest {
     /** Enough stops to reach past one log interval. */
     private static final int MAX_STOPS = 12;
     private final List<String> logLines = new CopyOnWriteArrayList<>();
@@ -36,11 +36,11 @@
     }
 
     private EventLoop startLoop() throws Exception {
-        Turns turns = new Turns();
+        EventLoopTurns turns = new EventLoopTurns();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, turns);
         opened.add(() -> group.shutdownGracefully(0, 0, TimeUnit.SECONDS));
         EventLoop loop = group.next();
-        Limits limits = new Limits(new Boot(Map.of()), 1024, 192);
+        Limits limits = new Limits(new DeploymentReader(Map.of()), 1024, 192);
         Log log = new Log(limits, (level, event, detail, more) -> {
             logLines.add(event + ": " + detail);
             if (event.equals("slow")) {
@@ -48,10 +48,11 @@
             }
             return event;
         });
-        localFront = loop.submit(() -> new Front(loop, turns, new Boot(Map.of()), limits, log, 1)).get();
+        localFront = loop.submit(() -> new Front(loop, turns, new DeploymentReader(Map.of()), limits, log,
+                1)).get();
         // The probe looks up the JVM's other threads 2 s after its start.
         Thread.sleep(2_600);
-        loop.submit(() -> localFront.log().sum()).get();
+        loop.submit(() -> localFront.log().endInterval()).get();
         logLines.clear();
         return loop;
     }
@@ -80,7 +81,7 @@
     @Example
     void longTimer() throws Exception {
         EventLoop loop = startLoop();
-        String line = stallLine(loop, () -> localFront.timers().in(100, () -> {
+        String line = stallLine(loop, () -> localFront.timers().scheduleIn(100, () -> {
             for (long end = System.nanoTime() + 300_000_000L; System.nanoTime() < end; ) {
                 Thread.onSpinWait();
             }
@@ -126,7 +127,7 @@
     @Example
     void slowLogWriter() throws Exception {
         EventLoop loop = startLoop();
-        String line = stallLine(loop, () -> localFront.log().line("slow", ""));
+        String line = stallLine(loop, () -> localFront.log().warn("slow", ""));
         assertTrue(line.startsWith("event loop stalled, writing the log: 3"), line);
         assertTrue(line.contains("; log 3"), line);
     }
--- a/src/test/java/reedspring/spread/SpreadTest.java
+++ b/src/test/java/reedspring/spread/SpreadTest.java
@@ -32,7 +32,7 @@
         return new Deployment(fronts, List.of(new Deployment.ResourceGroup(TICKS_PER_SECOND, 2, 1, 0, 1,
                 Effect.READ_ONLY,
                 Recognised.ALL, 0, false, null, null)), List.of(), Map.of(),
-                new Deployment.Allowed(false, true, false, 3, TICKS_PER_SECOND / 2),
+                new Deployment.Capabilities(false, true, false, 3, TICKS_PER_SECOND / 2),
                 new Deployment.Discovery(false, 0),
                 coldStart, null, 0, 1, 2 * TICKS_PER_SECOND, true);
     }
@@ -379,14 +379,14 @@
     void eachChangeOfAnEnginesTrafficIsRemarkedOnOnce() {
         Spread spread = front(1, 1, equalCores(3));
         double[] weights = equalCores(3);
-        assertEquals(List.of(), spread.trafficRemarks(k -> weights[k], START));
+        assertEquals(List.of(), spread.trafficMessages(k -> weights[k], START));
         weights[1] = 1.2;
-        assertEquals(1, spread.trafficRemarks(k -> weights[k], START).size());
-        assertEquals(List.of(), spread.trafficRemarks(k -> weights[k], START));
+        assertEquals(1, spread.trafficMessages(k -> weights[k], START).size());
+        assertEquals(List.of(), spread.trafficMessages(k -> weights[k], START));
         weights[1] = 5;
-        assertEquals(List.of(), spread.trafficRemarks(k -> weights[k], START), "no remark half way back");
+        assertEquals(List.of(), spread.trafficMessages(k -> weights[k], START), "no remark half way back");
         weights[1] = 8;
-        assertTrue(spread.trafficRemarks(k -> weights[k], START).get(0).contains("its share again"));
+        assertTrue(spread.trafficMessages(k -> weights[k], START).get(0).contains("its share again"));
     }
 
     /** Random events, with rows that are reused by other engines. */
