--- a/src/main/java/reedspring/Control.java
+++ b/src/main/java/reedspring/Control.java
@@ -26,7 +26,7 @@
 
 /**
  * Makes all scheduling decisions of one front: admission, choice of engine, resubmission, load shedding and
- * final answers. Create one when the front starts, then pass each event to {@link #on} with its time of
+ * final answers. Create one when the front starts, then pass each event to {@link #onEvent} with its time of
  * arrival; the resulting actions are passed to the consumer, in order, before the call returns. The interface
  * is the package {@code reedspring.api}: {@link Event} as input, {@link Action} as output, {@link Deployment}
  * as configuration. Does no I/O and reads no clock. Not thread-safe. Times are in ticks: whole tenths of a
--- a/src/main/java/reedspring/adapter/Adapter.java
+++ b/src/main/java/reedspring/adapter/Adapter.java
@@ -198,21 +198,21 @@
 
     private Event parseListed(Line line) throws WireException {
         String mode = line.text("mode");
-        Event.ListKind reading;
+        Event.ListKind listKind;
         switch (mode) {
             case "unavailable" -> {
                 return new Event.ListUnavailable();
             }
-            case "update" -> reading = Event.ListKind.CHANGES;
-            case "replace" -> reading = Event.ListKind.COMPLETE;
-            case "restored" -> reading = Event.ListKind.CACHED;
+            case "update" -> listKind = Event.ListKind.CHANGES;
+            case "replace" -> listKind = Event.ListKind.COMPLETE;
+            case "restored" -> listKind = Event.ListKind.CACHED;
             default -> throw line.malformed("mode", "'" + mode + "' is not a list mode");
         }
         List<Event.Listing> entries = directories.get((int) line.integer("setId"));
         if (entries == null) {
             throw line.malformed("setId", "no DIRECTORY has this number");
         }
-        return new Event.EnginesListed(reading, entries);
+        return new Event.EnginesListed(listKind, entries);
     }
 
     private static Event parseNote(Line line) throws WireException {
--- a/src/main/java/reedspring/net/EngineConnections.java
+++ b/src/main/java/reedspring/net/EngineConnections.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void enginesListed(Event.ListKind reading, List<Host> hosts) {
+    public void enginesListed(Event.ListKind listKind, List<Host> hosts) {
         listCount++;
         for (Host host : hosts) {
             Id.Engine id = host.listing().engine();
@@ -66,7 +66,7 @@
                 List.copyOf(pool.connections).forEach(EngineConnection::retire);
             }
         }
-        if (reading != Event.ListKind.CHANGES) {
+        if (listKind != Event.ListKind.CHANGES) {
             pools.forEach((id, pool) -> {
                 if (pool.lastListedIn != listCount) {
                     pool.up = false;
--- a/src/main/java/reedspring/net/Front.java
+++ b/src/main/java/reedspring/net/Front.java
@@ -182,10 +182,10 @@
 
     // ---- engine list from the journal
 
-    void enginesListed(Event.ListKind reading, List<Host> hosts) {
-        engines.enginesListed(reading, hosts);
+    void enginesListed(Event.ListKind listKind, List<Host> hosts) {
+        engines.enginesListed(listKind, hosts);
         enginesListed = true;
-        engineEvents.add(new Event.EnginesListed(reading, hosts.stream().map(Host::listing).toList()));
+        engineEvents.add(new Event.EnginesListed(listKind, hosts.stream().map(Host::listing).toList()));
         processEvents();
     }
 
--- a/src/main/java/reedspring/net/SubmissionRunner.java
+++ b/src/main/java/reedspring/net/SubmissionRunner.java
@@ -7,11 +7,11 @@
 /** Runs the front's submissions. Called on the event loop only. */
 interface SubmissionRunner {
     /** Passes on the current list of engines, before the decision logic gets it. */
-    void enginesListed(Event.ListKind reading, List<Host> hosts);
+    void enginesListed(Event.ListKind listKind, List<Host> hosts);
 
-    /** Runs the submission on the engine; its outcome is reported to {@link Front#closed}. */
+    /** Runs the submission on the engine; its outcome is reported to {@link Front#submissionEnded}. */
     void send(Id.Engine engine, Submission s);
 
-    /** Called every {@link Limits#tick}. */
+    /** Called every {@link Limits#tickMs}. */
     void tick(long now);
 }
--- a/src/rig/java/reedspring/net/HollowFront.java
+++ b/src/rig/java/reedspring/net/HollowFront.java
@@ -184,8 +184,8 @@
         }
 
         @Override
-        public void enginesListed(Event.ListKind reading, List<Host> hosts) {
-            if (reading != Event.ListKind.CHANGES) {
+        public void enginesListed(Event.ListKind listKind, List<Host> hosts) {
+            if (listKind != Event.ListKind.CHANGES) {
                 listedRows.clear();
                 digest = 0;
             }
--- a/src/test/java/reedspring/net/LoopTest.java
+++ b/src/test/java/reedspring/net/LoopTest.java
@@ -79,8 +79,8 @@
     private SubmissionRunner withDecisionHook(SubmissionRunner engines) {
         return new SubmissionRunner() {
             @Override
-            public void enginesListed(Event.ListKind reading, List<Host> hosts) {
-                engines.enginesListed(reading, hosts);
+            public void enginesListed(Event.ListKind listKind, List<Host> hosts) {
+                engines.enginesListed(listKind, hosts);
             }
 
             @Override
--- a/src/test/java/reedspring/spool/SpoolTest.java
+++ b/src/test/java/reedspring/spool/SpoolTest.java
@@ -99,7 +99,7 @@
                 }
                 harness.runUntilIdle();
             } catch (MemoryDisk.Crash e) {
-                // the crash that crashAfter() scheduled
+                // the crash that crashAfterSteps() scheduled
             }
             harness.disk.restart();
             for (boolean started = false; !started; ) {
