--- a/src/test/java/reedspring/net/StallsIT.java
+++ b/src/test/java/reedspring/net/StallsIT.java
@@ -201,11 +201,11 @@
                 throw new UncheckedIOException(e);
             }
         });
-        await("the lines that were blocked", () -> log.stream().anyMatch(l -> l.contains("can't be used")));
+        await("the lines that were blocked", () -> log.stream().anyMatch(l -> l.contains("request refused")));
         assertTrue(log.get(0).startsWith("\0"), "the pipe was full");
         // Lines before the first of these may be about a stall at start.
         int firstLine = 0;
-        while (!log.get(firstLine).contains("can't be used")) {
+        while (!log.get(firstLine).contains("request refused")) {
             firstLine++;
         }
         assertNoOwnStalls(log.subList(firstLine, log.size()));
