--- a/src/rig/java/reedspring/rig/Lists.java
+++ b/src/rig/java/reedspring/rig/Lists.java
@@ -10,8 +10,8 @@
 import reedspring.api.Deployment;
 import reedspring.api.Event;
 import reedspring.api.Event.Health;
-import reedspring.api.Event.Listing;
 import reedspring.api.Event.ListKind;
+import reedspring.api.Event.Listing;
 import reedspring.api.Id;
 import reedspring.api.Load;
 
